--- a/src/forwarding/call-log.ts
+++ b/src/forwarding/call-log.ts
@@ -1,5 +1,5 @@
 /** How a call that is over is worded in its log line. */
-import type { ReservationSteps, ReservationTimes } from '../ledger/index.js';
+import type { ReservationTrace, ReservationTimes } from '../ledger/index.js';
 import type { LogFields } from '../observability/index.js';
 import type { CallExchange, ProgramContext } from './call-exchange.js';
 import type { CallRun, SendRecord } from './call-run.js';
@@ -28,7 +28,7 @@
 }
 
 /** What a reservation went through; the leader's age is that of what this gateway knew before it asked. */
-export function describeSteps(steps: ReservationSteps): LogFields {
+export function describeSteps(steps: ReservationTrace): LogFields {
   const { times, questions, knownLeader, leader, historyFrom, failed } = steps;
   return {
     reserveParts: describeTimes(times),
--- a/src/forwarding/turn-reservations.ts
+++ b/src/forwarding/turn-reservations.ts
@@ -6,7 +6,7 @@
   HistoryMissingError,
   type LedgerClient,
   NotReservedError,
-  ReservationSteps,
+  ReservationTrace,
   type Settlement,
   type TurnPlacement,
   TurnHistoryCache,
@@ -53,7 +53,7 @@
   /** How long the ledger took, in milliseconds. */
   tookMs: number;
   /** Where that time went. */
-  steps: ReservationSteps;
+  steps: ReservationTrace;
   /** Most tokens taken from this gateway's allowance, if the ledger could not be asked. */
   allowanceTaken?: number;
   /** The back end that most likely holds the prompt of the turns before. */
@@ -118,7 +118,7 @@
           ? scopedId(tenant, previousTurn)
           : undefined,
     };
-    const steps = new ReservationSteps();
+    const steps = new ReservationTrace();
     try {
       return await this.ask(exchange, turn, time, steps);
     } catch (error) {
@@ -159,7 +159,7 @@
     { description }: CallExchange,
     { attempt, program, previousTurn }: TurnIds,
     { deadlineMs, typicalMs }: TurnTime,
-    steps: ReservationSteps,
+    steps: ReservationTrace,
   ): Promise<Reservation> {
     const startedAt = monotonicMs();
     const known = previousTurn === undefined ? undefined : this.histories.find(previousTurn);
@@ -190,7 +190,7 @@
     return { program, attempt, previousTurn, history, tookMs, steps, allowanceTaken, lastBackend };
   }
 
-  private refusalOf(error: unknown, steps: ReservationSteps): RefusedError {
+  private refusalOf(error: unknown, steps: ReservationTrace): RefusedError {
     const details = describeSteps(steps);
     if (error instanceof HistoryMissingError) {
       return new RefusedError('history-missing', error.comeBackMs, details);
--- a/src/ledger/index.ts
+++ b/src/ledger/index.ts
@@ -5,9 +5,9 @@
 export { HistoryMissingError, NotReservedError } from './ledger-errors.js';
 export {
   type ReservationStep,
-  ReservationSteps,
+  ReservationTrace,
   type ReservationTimes,
-} from './reservation-steps.js';
+} from './reservation-trace.js';
 export { LedgerService } from './ledger-service.js';
 export { LedgerStateMachine } from './ledger-state-machine.js';
 export { TurnValuesMissingError } from './turn-histories.js';
--- a/src/ledger/ledger-client.ts
+++ b/src/ledger/ledger-client.ts
@@ -20,7 +20,7 @@
 import type { Method } from '../wire/index.js';
 import { LEDGER_GROUP, RESERVE, type ReserveAnswer, SETTLE } from './messages.js';
 import { ReservationAttempt, type TurnRequest } from './reservation-attempt.js';
-import { ReservationSteps } from './reservation-steps.js';
+import { ReservationTrace } from './reservation-trace.js';
 import { ReservationWindow } from './reservation-window.js';
 import { type SettlementBatch, SettlementQueue } from './settlement-queue.js';
 import type { ValueCopies } from './value-copies.js';
@@ -101,7 +101,7 @@
     request: TurnRequest,
     usefulMs: number,
     mayUseAllowance: boolean,
-    steps = new ReservationSteps(),
+    steps = new ReservationTrace(),
   ): Promise<Reserved> {
     steps.knownLeader = this.groups.lastHeardLeader(LEDGER_GROUP);
     const { program, mostTokens } = request;
@@ -164,7 +164,7 @@
   private attempt(
     request: TurnRequest,
     limitMs: number,
-    steps: ReservationSteps,
+    steps: ReservationTrace,
   ): Promise<ReserveAnswer> {
     const { histories, logger } = this;
     const ask = this.ask.bind(this);
@@ -175,7 +175,7 @@
   private async ask(
     request: TurnRequest,
     limitMs: number,
-    steps: ReservationSteps,
+    steps: ReservationTrace,
   ): Promise<ReserveAnswer> {
     const askedAt = monotonicMs();
     const hasEntered = await this.window.enter(limitMs);
--- a/src/ledger/missing-history.test.ts
+++ b/src/ledger/missing-history.test.ts
@@ -14,7 +14,7 @@
 import { describeError, monotonicMs, sleep } from '../common/index.js';
 import type { LedgerClient } from './ledger-client.js';
 import { HistoryMissingError } from './ledger-errors.js';
-import { ReservationSteps } from './reservation-steps.js';
+import { ReservationTrace } from './reservation-trace.js';
 
 const USEFUL_MS = 1_500;
 const FIRST_TURNS_MS = 2_500;
@@ -129,7 +129,7 @@
     const { ledger, client } = await startLedger();
     await ledger.cluster.crash(await ledger.loseAtAllButOneFollower());
     const awaySince = monotonicMs();
-    const steps = new ReservationSteps();
+    const steps = new ReservationTrace();
     const error = await missingErrorOf(client.reserve(NEXT_TURN, USEFUL_MS, false, steps));
     const awayMs = monotonicMs() - awaySince;
     expect(awayMs).toBeGreaterThan(HELD_MS - ASK_AGAIN_MS);
--- a/src/ledger/reservation-attempt.ts
+++ b/src/ledger/reservation-attempt.ts
@@ -4,7 +4,7 @@
 import type { HistoryReader } from './history-reader.js';
 import { HistoryMissingError, MaybeReservedError, NotReservedError } from './ledger-errors.js';
 import type { HistorySource, MissingHistory, ReserveAnswer, ReserveRequest } from './messages.js';
-import type { ReservationSteps } from './reservation-steps.js';
+import type { ReservationTrace } from './reservation-trace.js';
 
 /** Share of a reservation's time for reading a history elsewhere, so that the leader can still be asked for it. */
 const READ_SHARE = 0.5;
@@ -21,9 +21,9 @@
   request: TurnRequest;
   /** How long an answer is of any use, in milliseconds. */
   limitMs: number;
-  steps: ReservationSteps;
+  steps: ReservationTrace;
   /** Asks the ledger's leader. */
-  ask: (request: TurnRequest, limitMs: number, steps: ReservationSteps) => Promise<ReserveAnswer>;
+  ask: (request: TurnRequest, limitMs: number, steps: ReservationTrace) => Promise<ReserveAnswer>;
   /** Reads histories at members that don't lead; without it the leader sends them. */
   histories: HistoryReader | undefined;
   logger: Logger;
--- a/src/ledger/reservation-steps.ts
+++ b/src/ledger/reservation-trace.ts
@@ -14,7 +14,7 @@
   historyMs: number;
 }
 
-export class ReservationSteps {
+export class ReservationTrace {
   readonly times: ReservationTimes = { windowMs: 0, leaderMs: 0, historyMs: 0 };
   /** Questions that were put to the ledger. */
   questions = 0;
