--- a/src/forwarding/call-log.ts
+++ b/src/forwarding/call-log.ts
@@ -1,5 +1,5 @@
 /** How a call that is over is worded in its log line. */
-import type { ReservationTrace, ReservationTimes } from '../ledger/index.js';
+import type { ReservationTrace, ReservationTimings } from '../ledger/index.js';
 import type { LogFields } from '../observability/index.js';
 import type { CallExchange, ProgramContext } from './call-exchange.js';
 import type { CallRun, SendRecord } from './call-run.js';
@@ -41,7 +41,7 @@
 }
 
 /** In milliseconds: waited in this gateway, asked the leader, read the history elsewhere. */
-function describeTimes({ windowMs, leaderMs, historyMs }: ReservationTimes): string {
+function describeTimes({ windowMs, leaderMs, historyMs }: ReservationTimings): string {
   return [windowMs, leaderMs, historyMs].map(Math.round).join('+');
 }
 
--- a/src/ledger/index.ts
+++ b/src/ledger/index.ts
@@ -6,7 +6,7 @@
 export {
   type ReservationStep,
   ReservationTrace,
-  type ReservationTimes,
+  type ReservationTimings,
 } from './reservation-trace.js';
 export { LedgerService } from './ledger-service.js';
 export { LedgerStateMachine } from './ledger-state-machine.js';
--- a/src/ledger/reservation-trace.ts
+++ b/src/ledger/reservation-trace.ts
@@ -5,7 +5,7 @@
 export type ReservationStep = 'find-leader' | 'enter-window' | 'commit' | 'read-history';
 
 /** Where the time of a reservation went, in milliseconds. */
-export interface ReservationTimes {
+export interface ReservationTimings {
   /** In this gateway, until there was room for one more question. */
   windowMs: number;
   /** At the ledger's leader, the way there and back included. */
@@ -15,7 +15,7 @@
 }
 
 export class ReservationTrace {
-  readonly times: ReservationTimes = { windowMs: 0, leaderMs: 0, historyMs: 0 };
+  readonly times: ReservationTimings = { windowMs: 0, leaderMs: 0, historyMs: 0 };
   /** Questions that were put to the ledger. */
   questions = 0;
   /** What this gateway knew of the leader before it asked. */
