--- a/lab/ledger/main.ts
+++ b/lab/ledger/main.ts
@@ -13,7 +13,7 @@
 import { fileURLToPath } from 'node:url';
 import { monotonicMs, sleep } from '../../src/common/index.js';
 import { GroupClient, type Member, PeerDirectory } from '../../src/consensus/index.js';
-import { HistoryReader, LedgerClient, ValueCopies } from '../../src/ledger/index.js';
+import { HistoryReader, LedgerClient, ValueCopySender } from '../../src/ledger/index.js';
 import { MethodRouter } from '../../src/wire/index.js';
 import { HostProcess } from '../host-process.js';
 import { SILENT } from '../silent-logger.js';
@@ -144,7 +144,13 @@
     });
     const groups = new GroupClient({ peers, addresses });
     const histories = new HistoryReader(peers, SILENT);
-    return new LedgerClient(groups, SILENT, `holder-${index}`, histories, new ValueCopies(peers));
+    return new LedgerClient(
+      groups,
+      SILENT,
+      `holder-${index}`,
+      histories,
+      new ValueCopySender(peers),
+    );
   });
   for (const rate of rates) await measure(hosts, clients, rate);
   await Promise.all(hosts.map((host) => host.stop()));
--- a/src/ledger/index.ts
+++ b/src/ledger/index.ts
@@ -15,4 +15,4 @@
 export * from './messages.js';
 export type { TurnPlacement } from './program-placements.js';
 export { HistoryReader } from './history-reader.js';
-export { ValueCopies } from './value-copies.js';
+export { ValueCopySender } from './value-copy-sender.js';
--- a/src/ledger/kept-turns-power-loss.test.ts
+++ b/src/ledger/kept-turns-power-loss.test.ts
@@ -13,7 +13,7 @@
 import { type ConsensusOptions, checkConsensusOptions } from '../consensus/index.js';
 import { encodeValue } from '../wire/index.js';
 import type { SettleCommand } from './ledger-commands.js';
-import { ValueCopies } from './value-copies.js';
+import { ValueCopySender } from './value-copy-sender.js';
 
 vi.mock('node:fs/promises', async (importOriginal) => {
   const { withSimulatedDisks } = await import('../../tests/support/simulated-disk-files.js');
@@ -102,7 +102,7 @@
     const { cluster } = this;
     this.writers = Array.from({ length: WRITERS }, (_, index) => {
       const name = `writer-${index}`;
-      const copies = new ValueCopies(cluster.network.notifierOf(name));
+      const copies = new ValueCopySender(cluster.network.notifierOf(name));
       return new ChainWriter(name, cluster.createClient(name), copies, random.fork());
     });
   }
--- a/src/ledger/ledger-client.ts
+++ b/src/ledger/ledger-client.ts
@@ -23,7 +23,7 @@
 import { ReservationTrace } from './reservation-trace.js';
 import { ReservationWindow } from './reservation-window.js';
 import { type SettlementBatch, SettlementQueue } from './settlement-queue.js';
-import type { ValueCopies } from './value-copies.js';
+import type { ValueCopySender } from './value-copy-sender.js';
 
 /** How long settlements wait for a reservation that takes them along, in milliseconds. */
 const RIDE_WAIT_MS = 250;
@@ -74,7 +74,7 @@
     private readonly logger: Logger,
     private readonly holder: string,
     private readonly histories?: HistoryReader,
-    private readonly copies?: ValueCopies,
+    private readonly copies?: ValueCopySender,
   ) {}
 
   /** Expected time until a leader answers, in milliseconds; 0 while it does. */
--- a/src/ledger/ledger-service.ts
+++ b/src/ledger/ledger-service.ts
@@ -33,7 +33,7 @@
   type SettleRequest,
   TAKE_COPY,
 } from './messages.js';
-import { sendCopy } from './value-copies.js';
+import { sendCopy } from './value-copy-sender.js';
 
 /** Members named for one history: a second for when the first has just gone. */
 const NAMED_MEMBERS = 2;
--- a/src/ledger/value-copies.ts
+++ b/src/ledger/value-copy-sender.ts
@@ -7,7 +7,7 @@
 import { type Settlement, carriesValue } from './ledger-commands.js';
 import { type CopyTargets, TAKE_COPY, type TakeCopyNotice } from './messages.js';
 
-export class ValueCopies {
+export class ValueCopySender {
   private targets: CopyTargets | undefined;
 
   constructor(private readonly peers: PeerNotifier) {}
--- a/src/nodes/gateway-node.ts
+++ b/src/nodes/gateway-node.ts
@@ -15,7 +15,7 @@
   ForwardingMetrics,
   Placement,
 } from '../forwarding/index.js';
-import { HistoryReader, LedgerClient, ValueCopies } from '../ledger/index.js';
+import { HistoryReader, LedgerClient, ValueCopySender } from '../ledger/index.js';
 import { GatewayQuotas } from '../quotas/index.js';
 import { type Logger, addGauge } from '../observability/index.js';
 import { type EngineProperties, type RequestLimits, RouteTable } from '../routes/index.js';
@@ -89,7 +89,7 @@
         logger,
         holder,
         new HistoryReader(this.peers, logger),
-        new ValueCopies(this.peers),
+        new ValueCopySender(this.peers),
       ),
       protocol: options.protocol,
       logger,
--- a/tests/support/ledger-cluster.ts
+++ b/tests/support/ledger-cluster.ts
@@ -12,7 +12,7 @@
   LedgerStateMachine,
   READ_TURNS,
   type Settlement,
-  ValueCopies,
+  ValueCopySender,
 } from '../../src/ledger/index.js';
 import { createLogger } from '../../src/observability/index.js';
 import {
@@ -144,7 +144,7 @@
     const { network } = this.cluster;
     const peers = network.peersOf(name);
     const groups = new GroupClient({ peers, addresses: this.addresses, tryTimeoutMs: 300 });
-    const copies = new ValueCopies(network.notifierOf(name));
+    const copies = new ValueCopySender(network.notifierOf(name));
     return new LedgerClient(groups, ledgerTestLogger, name, this.createReader(name), copies);
   }
 
--- a/tests/support/simulated-disk-load.ts
+++ b/tests/support/simulated-disk-load.ts
@@ -6,7 +6,7 @@
   RESERVE,
   SETTLE,
   type Settlement,
-  type ValueCopies,
+  type ValueCopySender,
 } from '../../src/ledger/index.js';
 
 const RETENTION_MS = 600_000;
@@ -42,7 +42,7 @@
   constructor(
     readonly name: string,
     private readonly client: GroupClient,
-    private readonly copies: ValueCopies,
+    private readonly copies: ValueCopySender,
     private readonly random: SeededRandom,
   ) {}
 
