--- a/src/ledger/ledger-client.ts
+++ b/src/ledger/ledger-client.ts
@@ -149,7 +149,7 @@
       const canCopy = this.copies !== undefined && tries < MOST_SETTLE_TRIES;
       const request = { settlements: [settlement], copiedTo, canCopy };
       const answer = await this.call(SETTLE, request, limits);
-      if (answer.copyTargets) this.copies?.noteTargets(answer.copyTargets);
+      if (answer.copyTargets) this.copies?.updateTargets(answer.copyTargets);
       isSettled = answer.isSettled;
     }
     if (settlement.draw) this.allowances.confirm(settlement.program);
@@ -208,7 +208,7 @@
     const limits = { timeoutMs, tryTimeoutMs: RESERVE_TRY_TIMEOUT_MS };
     try {
       const answer = await this.call(RESERVE, whole, limits);
-      if (answer.copyTargets) this.copies?.noteTargets(answer.copyTargets);
+      if (answer.copyTargets) this.copies?.updateTargets(answer.copyTargets);
       // The leader has looked for it at others, and waited for them.
       if (answer.missingHistory) this.window.leaveUnmeasured();
       else this.window.leaveAnswered(monotonicMs() - startedAt);
--- a/src/ledger/value-copy-sender.ts
+++ b/src/ledger/value-copy-sender.ts
@@ -17,7 +17,7 @@
     return this.targets?.version;
   }
 
-  noteTargets(targets: CopyTargets): void {
+  updateTargets(targets: CopyTargets): void {
     this.targets = targets;
   }
 
--- a/tests/support/simulated-disk-load.ts
+++ b/tests/support/simulated-disk-load.ts
@@ -107,7 +107,7 @@
     const limits = { timeoutMs: CALL_TIMEOUT_MS };
     try {
       const answer = await callLeader(this.client, LEDGER_GROUP, SETTLE, request, limits);
-      if (answer.copyTargets) this.copies.noteTargets(answer.copyTargets);
+      if (answer.copyTargets) this.copies.updateTargets(answer.copyTargets);
       return answer.isSettled;
     } catch {
       return false;
