--- a/src/ledger/kept-turns.ts
+++ b/src/ledger/kept-turn-index.ts
@@ -16,7 +16,7 @@
 /** One turn of a snapshot; the order of the fields is the format. */
 export type EncodedTurn = [id: string, previousTurn: string | null, expiresAtMs: number];
 
-export class KeptTurns {
+export class KeptTurnIndex {
   private turns = new Map<string, IndexedTurn>();
   /** After a restore the store may hold values of turns that the state does not name. */
   private mayHoldOthers = true;
--- a/src/ledger/kept-turns-memory.test.ts
+++ b/src/ledger/kept-turns-memory.test.ts
@@ -4,7 +4,7 @@
 import { temporaryFolder } from '../../tests/support/temporary-folder.js';
 import { createLogger } from '../observability/index.js';
 import { ValueStore, openStoreFolder } from '../value-store/index.js';
-import { KeptTurns } from './kept-turns.js';
+import { KeptTurnIndex } from './kept-turn-index.js';
 
 const MIB = 1024 * 1024;
 const TURNS = 12_000;
@@ -21,7 +21,7 @@
     cacheBytes: CACHE_BYTES,
   });
   onTestFinished(() => values.close());
-  const turns = new KeptTurns(values);
+  const turns = new KeptTurnIndex(values);
   const before = await usedBytes();
   for (let turn = 0; turn < TURNS; turn += 1) {
     await values.waitForRoom();
--- a/src/ledger/ledger-service.ts
+++ b/src/ledger/ledger-service.ts
@@ -7,7 +7,7 @@
   votersOf,
 } from '../consensus/index.js';
 import { type MethodRouter, encodeValue } from '../wire/index.js';
-import { valueOf } from './kept-turns.js';
+import { valueOf } from './kept-turn-index.js';
 import { LATE_MEMBER_MS, readAtLeader } from './leader-history.js';
 import {
   type LedgerCommand,
--- a/src/ledger/ledger-state-machine.ts
+++ b/src/ledger/ledger-state-machine.ts
@@ -3,7 +3,7 @@
 import type { LogEntry } from '../log-store/index.js';
 import type { Logger } from '../observability/index.js';
 import { decodeFrames, decodeValue, encodeFrame } from '../wire/index.js';
-import { type EncodedTurn, KeptTurns } from './kept-turns.js';
+import { type EncodedTurn, KeptTurnIndex } from './kept-turn-index.js';
 import {
   type LedgerCommand,
   type ReserveCommand,
@@ -42,7 +42,7 @@
 
 export class LedgerStateMachine implements StateMachine {
   readonly budgets = new ProgramBudgets();
-  readonly turns: KeptTurns;
+  readonly turns: KeptTurnIndex;
   readonly placements = new ProgramPlacements();
   readonly external: TurnHistories;
   private clock = 0;
@@ -51,7 +51,7 @@
   private index = 0;
 
   constructor(private readonly options: LedgerStateOptions) {
-    this.turns = new KeptTurns(options.values);
+    this.turns = new KeptTurnIndex(options.values);
     this.external = new TurnHistories({
       ...options,
       turns: this.turns,
--- a/src/ledger/turn-histories.ts
+++ b/src/ledger/turn-histories.ts
@@ -7,7 +7,7 @@
 import type { ExternalState, Member } from '../consensus/index.js';
 import type { LogEntry, StoredSnapshot } from '../log-store/index.js';
 import type { Logger } from '../observability/index.js';
-import type { KeptTurns } from './kept-turns.js';
+import type { KeptTurnIndex } from './kept-turn-index.js';
 import { LossReports } from './loss-reports.js';
 import type { ReadTurnsAnswer, ReadTurnsRequest } from './messages.js';
 import type { TurnValues } from './turn-values.js';
@@ -53,7 +53,7 @@
 }
 
 export interface TurnHistoriesOptions {
-  turns: KeptTurns;
+  turns: KeptTurnIndex;
   values: TurnValues;
   readTurnsAt: ReadTurnsAt;
   /** Ids of the turns that an encoded state names. */
--- a/src/ledger/value-copy-sender.ts
+++ b/src/ledger/value-copy-sender.ts
@@ -3,7 +3,7 @@
  * names them in its log: its link carries each once, in place of once for every voter.
  */
 import type { PeerNotifier } from '../consensus/index.js';
-import { valueOf } from './kept-turns.js';
+import { valueOf } from './kept-turn-index.js';
 import { type Settlement, carriesValue } from './ledger-commands.js';
 import { type CopyTargets, TAKE_COPY, type TakeCopyNotice } from './messages.js';
 
