--- a/src/ledger/kept-turn-index.ts
+++ b/src/ledger/kept-turn-index.ts
@@ -2,7 +2,7 @@
  * The index of the turns that are kept for later ones, each linked to the turn it continued. Their
  * inputs and outputs are values on this member's disk.
  */
-import { type KeptTurn, type NamedTurn, carriesValue } from './ledger-commands.js';
+import { type KeptTurn, type KeptTurnReference, carriesValue } from './ledger-commands.js';
 import type { TurnValues } from './turn-values.js';
 import { UnnamedValues } from './unnamed-values.js';
 
@@ -50,7 +50,7 @@
    * Keeps a turn, and its whole chain for at least as long.
    * @param keptAtIndex log index of the entry that brings it
    */
-  keep(id: string, turn: KeptTurn | NamedTurn, nowMs: number, keptAtIndex = 0): void {
+  keep(id: string, turn: KeptTurn | KeptTurnReference, nowMs: number, keptAtIndex = 0): void {
     this.unnamed.noteNamed(id, keptAtIndex);
     if (this.turns.has(id)) return;
     const { previousTurn, retentionMs } = turn;
--- a/src/ledger/ledger-commands.ts
+++ b/src/ledger/ledger-commands.ts
@@ -40,7 +40,7 @@
 }
 
 /** A kept turn as the log names it; its input and output are with every member that holds the entry. */
-export interface NamedTurn {
+export interface KeptTurnReference {
   previousTurn?: string;
   retentionMs: number;
 }
@@ -51,7 +51,7 @@
   /** Id of the call attempt; a repeated settlement of the same attempt changes nothing. */
   attempt: string;
   spentTokens: number;
-  keep?: KeptTurn | NamedTurn;
+  keep?: KeptTurn | KeptTurnReference;
   draw?: AllowanceDraw;
   /** Where the turn ran; absent when it was not answered. */
   placement?: TurnPlacement;
@@ -64,7 +64,7 @@
 }
 
 /** Whether a kept turn comes with its input and output, and not by name only. */
-export function carriesValue(keep: KeptTurn | NamedTurn): keep is KeptTurn {
+export function carriesValue(keep: KeptTurn | KeptTurnReference): keep is KeptTurn {
   return 'input' in keep;
 }
 
