--- a/src/ledger/kept-turn-index.ts
+++ b/src/ledger/kept-turn-index.ts
@@ -2,7 +2,7 @@
  * The index of the turns that are kept for later ones, each linked to the turn it continued. Their
  * inputs and outputs are values on this member's disk.
  */
-import { type KeptTurn, type KeptTurnReference, carriesValue } from './ledger-commands.js';
+import { type KeptTurn, type KeptTurnReference, hasInlineValue } from './ledger-commands.js';
 import type { TurnValues } from './turn-values.js';
 import { UnnamedValues } from './unnamed-values.js';
 
@@ -56,7 +56,7 @@
     const { previousTurn, retentionMs } = turn;
     const expiresAtMs = nowMs + retentionMs;
     this.turns.set(id, { previousTurn: previousTurn ?? undefined, expiresAtMs, keptAtIndex });
-    if (carriesValue(turn)) this.values.put(id, valueOf(turn));
+    if (hasInlineValue(turn)) this.values.put(id, valueOf(turn));
     this.extendChain(previousTurn, expiresAtMs);
   }
 
--- a/src/ledger/ledger-commands.ts
+++ b/src/ledger/ledger-commands.ts
@@ -64,7 +64,7 @@
 }
 
 /** Whether a kept turn comes with its input and output, and not by name only. */
-export function carriesValue(keep: KeptTurn | KeptTurnReference): keep is KeptTurn {
+export function hasInlineValue(keep: KeptTurn | KeptTurnReference): keep is KeptTurn {
   return 'input' in keep;
 }
 
--- a/src/ledger/ledger-service.ts
+++ b/src/ledger/ledger-service.ts
@@ -13,7 +13,7 @@
   type LedgerCommand,
   type ReserveResult,
   type Settlement,
-  carriesValue,
+  hasInlineValue,
 } from './ledger-commands.js';
 import type { LedgerStateMachine } from './ledger-state-machine.js';
 import {
@@ -172,7 +172,7 @@
 function valuesIn(settlements: readonly Settlement[]): Map<string, Buffer> {
   const values = new Map<string, Buffer>();
   for (const { attempt, keep } of settlements) {
-    if (keep && carriesValue(keep)) values.set(attempt, valueOf(keep));
+    if (keep && hasInlineValue(keep)) values.set(attempt, valueOf(keep));
   }
   return values;
 }
@@ -183,7 +183,7 @@
  */
 function withoutValue(settlement: Settlement): Settlement {
   const { keep } = settlement;
-  if (!keep || !carriesValue(keep)) return settlement;
+  if (!keep || !hasInlineValue(keep)) return settlement;
   const { previousTurn, retentionMs } = keep;
   return { ...settlement, keep: { previousTurn, retentionMs } };
 }
--- a/src/ledger/ledger-state-machine.ts
+++ b/src/ledger/ledger-state-machine.ts
@@ -10,7 +10,7 @@
   type ReserveResult,
   type SettleCommand,
   type Settlement,
-  carriesValue,
+  hasInlineValue,
 } from './ledger-commands.js';
 import { type EncodedAccount, ProgramBudgets } from './program-budgets.js';
 import { type EncodedPlacements, ProgramPlacements } from './program-placements.js';
@@ -149,7 +149,7 @@
   const command = decodeValue<LedgerCommand>(data);
   if (command.kind !== 'settle') return [];
   return command.settlements.flatMap(({ attempt, keep }) =>
-    keep && !carriesValue(keep) ? [attempt] : [],
+    keep && !hasInlineValue(keep) ? [attempt] : [],
   );
 }
 
--- a/src/ledger/value-copy-sender.ts
+++ b/src/ledger/value-copy-sender.ts
@@ -4,7 +4,7 @@
  */
 import type { PeerNotifier } from '../consensus/index.js';
 import { valueOf } from './kept-turn-index.js';
-import { type Settlement, carriesValue } from './ledger-commands.js';
+import { type Settlement, hasInlineValue } from './ledger-commands.js';
 import { type CopyTargets, TAKE_COPY, type TakeCopyNotice } from './messages.js';
 
 export class ValueCopySender {
@@ -26,7 +26,7 @@
    * @returns the version of the targets that it was sent to; undefined when it was sent to none
    */
   send({ attempt, keep }: Settlement): string | undefined {
-    if (!this.targets || !keep || !carriesValue(keep)) return undefined;
+    if (!this.targets || !keep || !hasInlineValue(keep)) return undefined;
     sendCopy(this.peers, this.targets.addresses, { turn: attempt, value: valueOf(keep) });
     return this.targets.version;
   }
