--- a/src/ledger/kept-turn-index.ts
+++ b/src/ledger/kept-turn-index.ts
@@ -56,7 +56,7 @@
     const { previousTurn, retentionMs } = turn;
     const expiresAtMs = nowMs + retentionMs;
     this.turns.set(id, { previousTurn: previousTurn ?? undefined, expiresAtMs, keptAtIndex });
-    if (hasInlineValue(turn)) this.values.put(id, valueOf(turn));
+    if (hasInlineValue(turn)) this.values.put(id, encodeTurnValue(turn));
     this.extendChain(previousTurn, expiresAtMs);
   }
 
@@ -120,7 +120,7 @@
 }
 
 /** A turn's value: its input followed by its output. */
-export function valueOf({ input, output }: KeptTurn): Buffer {
+export function encodeTurnValue({ input, output }: KeptTurn): Buffer {
   return Buffer.concat([input, output]);
 }
 
--- a/src/ledger/ledger-service.ts
+++ b/src/ledger/ledger-service.ts
@@ -7,7 +7,7 @@
   votersOf,
 } from '../consensus/index.js';
 import { type MethodRouter, encodeValue } from '../wire/index.js';
-import { valueOf } from './kept-turn-index.js';
+import { encodeTurnValue } from './kept-turn-index.js';
 import { LATE_MEMBER_MS, readAtLeader } from './leader-history.js';
 import {
   type LedgerCommand,
@@ -172,7 +172,7 @@
 function valuesIn(settlements: readonly Settlement[]): Map<string, Buffer> {
   const values = new Map<string, Buffer>();
   for (const { attempt, keep } of settlements) {
-    if (keep && hasInlineValue(keep)) values.set(attempt, valueOf(keep));
+    if (keep && hasInlineValue(keep)) values.set(attempt, encodeTurnValue(keep));
   }
   return values;
 }
--- a/src/ledger/value-copy-sender.ts
+++ b/src/ledger/value-copy-sender.ts
@@ -3,7 +3,7 @@
  * names them in its log: its link carries each once, in place of once for every voter.
  */
 import type { PeerNotifier } from '../consensus/index.js';
-import { valueOf } from './kept-turn-index.js';
+import { encodeTurnValue } from './kept-turn-index.js';
 import { type Settlement, hasInlineValue } from './ledger-commands.js';
 import { type CopyTargets, TAKE_COPY, type TakeCopyNotice } from './messages.js';
 
@@ -27,7 +27,7 @@
    */
   send({ attempt, keep }: Settlement): string | undefined {
     if (!this.targets || !keep || !hasInlineValue(keep)) return undefined;
-    sendCopy(this.peers, this.targets.addresses, { turn: attempt, value: valueOf(keep) });
+    sendCopy(this.peers, this.targets.addresses, { turn: attempt, value: encodeTurnValue(keep) });
     return this.targets.version;
   }
 }
