--- a/src/ledger/kept-turn-index.ts
+++ b/src/ledger/kept-turn-index.ts
@@ -4,7 +4,7 @@
  */
 import { type KeptTurn, type KeptTurnReference, hasInlineValue } from './ledger-commands.js';
 import type { TurnValues } from './turn-values.js';
-import { UnnamedValues } from './unnamed-values.js';
+import { UnreferencedValues } from './unreferenced-values.js';
 
 interface IndexedTurn {
   previousTurn: string | undefined;
@@ -22,7 +22,7 @@
   private mayHoldOthers = true;
 
   /** Values that no turn of the state names yet. */
-  readonly unnamed = new UnnamedValues();
+  readonly unnamed = new UnreferencedValues();
 
   constructor(private readonly values: TurnValues) {}
 
--- a/src/ledger/unnamed-values.test.ts
+++ b/src/ledger/unreferenced-values.test.ts
@@ -1,12 +1,12 @@
 /** How long values wait for the log entry that names them. */
 import { describe, expect, it } from 'vitest';
-import { UnnamedValues } from './unnamed-values.js';
+import { UnreferencedValues } from './unreferenced-values.js';
 
 const LONGER_THAN_ANY_WAIT_MS = 61_000;
 
 function startedAt(nowMs: number) {
   const clock = { nowMs };
-  return { clock, unnamed: new UnnamedValues(() => clock.nowMs) };
+  return { clock, unnamed: new UnreferencedValues(() => clock.nowMs) };
 }
 
 describe('a value that no entry has named', () => {
--- a/src/ledger/unnamed-values.ts
+++ b/src/ledger/unreferenced-values.ts
@@ -17,7 +17,7 @@
   loggedAt?: number;
 }
 
-export class UnnamedValues {
+export class UnreferencedValues {
   private readonly unnamed = new Map<string, UnnamedValue>();
   /** Bytes of all values together. */
   bytes = 0;
