--- a/src/ledger/allowance-book.ts
+++ b/src/ledger/allowance-tracker.ts
@@ -12,7 +12,7 @@
   unsettledTurns: number;
 }
 
-export class AllowanceBook {
+export class AllowanceTracker {
   private readonly allowances = createLruMap<string, Allowance>(MAX_PROGRAMS);
 
   /**
--- a/src/ledger/ledger-client.ts
+++ b/src/ledger/ledger-client.ts
@@ -11,7 +11,7 @@
   LeaderRefusedError,
   callLeader,
 } from '../consensus/index.js';
-import { AllowanceBook } from './allowance-book.js';
+import { AllowanceTracker } from './allowance-tracker.js';
 import type { HistoryReader } from './history-reader.js';
 import { HistoryMissingError, NotReservedError } from './ledger-errors.js';
 import { OutageEstimate } from './outage-estimate.js';
@@ -55,7 +55,7 @@
 
 export class LedgerClient {
   private readonly queue = new SettlementQueue();
-  private readonly allowances = new AllowanceBook();
+  private readonly allowances = new AllowanceTracker();
   private readonly outage = new OutageEstimate();
   private readonly window = new ReservationWindow(() => this.outage.remainingMs > 0);
   private isSending = false;
--- a/src/ledger/ledger.test.ts
+++ b/src/ledger/ledger.test.ts
@@ -4,7 +4,7 @@
 import { MemoryValues } from '../../tests/support/memory-values.js';
 import { createLogger } from '../observability/index.js';
 import { encodeValue } from '../wire/index.js';
-import { AllowanceBook } from './allowance-book.js';
+import { AllowanceTracker } from './allowance-tracker.js';
 import { TurnHistoryCache } from './history-cache.js';
 import type { LedgerCommand, ReserveResult, Settlement } from './ledger-commands.js';
 import { LedgerStateMachine } from './ledger-state-machine.js';
@@ -197,13 +197,13 @@
     fc.assert(
       fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
         const ledger = new Ledger();
-        const books = new Map<string, AllowanceBook>();
+        const books = new Map<string, AllowanceTracker>();
         let received = 0;
         for (const [
           index,
           { gateway, ledgerIsAway, spent, settles, restarts },
         ] of steps.entries()) {
-          const book = books.get(gateway) ?? new AllowanceBook();
+          const book = books.get(gateway) ?? new AllowanceTracker();
           books.set(gateway, book);
           const attempt = `t${index}`;
           if (ledgerIsAway) {
