--- a/src/quotas/quota-leader.ts
+++ b/src/quotas/quota-leader.ts
@@ -4,7 +4,7 @@
 import type { MethodRouter } from '../wire/index.js';
 import { QUOTA_SHARES, type SharesAnswer, type SharesRequest } from './messages.js';
 import type { QuotaTolerance } from './quota-budget.js';
-import { type NamedLimit, ShareBoard } from './share-board.js';
+import { type NamedLimit, ShareRegistry } from './share-board.js';
 
 /** Shares hold for so long after the answer that gave them, in milliseconds. */
 export const SHARE_LEASE_MS = 3_500;
@@ -33,7 +33,7 @@
 }
 
 export class QuotaLeader {
-  private readonly board: ShareBoard;
+  private readonly board: ShareRegistry;
   private knownTerm = -1;
   private knownVersion = -1;
   private committing: Promise<void> | undefined;
@@ -46,7 +46,7 @@
     private readonly options: QuotaLeaderOptions,
     private readonly findGroup: () => ReplicatedGroup | undefined,
   ) {
-    this.board = new ShareBoard({
+    this.board = new ShareRegistry({
       tolerance: options.tolerance,
       leaseMs: SHARE_LEASE_MS,
       overlapMs: LEADER_OVERLAP_MS,
--- a/src/quotas/share-board.test.ts
+++ b/src/quotas/share-board.test.ts
@@ -2,14 +2,14 @@
 import { describe, expect, it } from 'vitest';
 import { GatewayShares } from './gateway-shares.js';
 import type { GrantedShare, HeldShare } from './messages.js';
-import { ShareBoard } from './share-board.js';
+import { ShareRegistry } from './share-board.js';
 
 const LEASE_MS = 3_500;
 const OVERLAP_MS = 300;
 const LIMIT = { name: 'office', ratePerSecond: 100, burst: 100 };
 
-function boardOf(tenants: string[], gateways = ['g1', 'g2']): ShareBoard {
-  const board = new ShareBoard({
+function boardOf(tenants: string[], gateways = ['g1', 'g2']): ShareRegistry {
+  const board = new ShareRegistry({
     tolerance: { over: 0, slack: 0, windowMs: 5_000 },
     leaseMs: LEASE_MS,
     overlapMs: OVERLAP_MS,
@@ -27,7 +27,7 @@
 
 describe('the board of a new leader', () => {
   function ask(
-    board: ShareBoard,
+    board: ShareRegistry,
     gateway: string,
     sequence: number,
     held: HeldShare[],
--- a/src/quotas/share-board.ts
+++ b/src/quotas/share-board.ts
@@ -54,7 +54,7 @@
   past: ReadonlySet<string>;
 }
 
-export class ShareBoard {
+export class ShareRegistry {
   private readonly pools = new Map<string, TenantPool>();
   private readonly gateways = new Map<string, GatewayRecord>();
   /** Gateways that may hold shares of an earlier leader. */
--- a/tests/support/program-simulation.ts
+++ b/tests/support/program-simulation.ts
@@ -1,7 +1,7 @@
 /** Programs of one tenant at one gateway beside a leader, on simulated time: how many come to their end. */
 import { SeededRandom } from '../../src/common/random.js';
 import { GatewayShares } from '../../src/quotas/gateway-shares.js';
-import { ShareBoard } from '../../src/quotas/share-board.js';
+import { ShareRegistry } from '../../src/quotas/share-board.js';
 import { TOLERANCE } from './quota-simulation.js';
 
 const LIMIT = { name: 'tenant', ratePerSecond: 60, burst: 60 };
@@ -35,7 +35,7 @@
 export function runPrograms(load: number, tellsFirstCalls = true): ProgramsOutcome {
   const random = new SeededRandom(4);
   const shares = new GatewayShares();
-  const board = new ShareBoard({
+  const board = new ShareRegistry({
     tolerance: TOLERANCE,
     leaseMs: LEASE_MS,
     overlapMs: 0,
--- a/tests/support/quota-simulation.ts
+++ b/tests/support/quota-simulation.ts
@@ -6,7 +6,7 @@
 import type { HeldShare, SharesAnswer } from '../../src/quotas/messages.js';
 import { GatewayShares } from '../../src/quotas/gateway-shares.js';
 import type { TenantLimit } from '../../src/quotas/quota-budget.js';
-import { ShareBoard } from '../../src/quotas/share-board.js';
+import { ShareRegistry } from '../../src/quotas/share-board.js';
 
 export const WINDOW_MS = 5_000;
 export const TOLERANCE = { over: 0.1, slack: 20, windowMs: WINDOW_MS };
@@ -58,7 +58,7 @@
 
 interface Leader {
   term: number;
-  board: ShareBoard;
+  board: ShareRegistry;
   leadsFrom: number;
   /** Until when a majority answers it. */
   confirmedUntil: number;
@@ -152,7 +152,7 @@
     this.term += 1;
     this.leaderlessUntil = 0;
     const { headroom } = this.options;
-    const board = new ShareBoard({
+    const board = new ShareRegistry({
       tolerance: TOLERANCE,
       leaseMs: LEASE_MS,
       overlapMs: STEP_DOWN_MS,
