--- a/src/quotas/quota-leader.ts
+++ b/src/quotas/quota-leader.ts
@@ -4,7 +4,7 @@
 import type { MethodRouter } from '../wire/index.js';
 import { QUOTA_SHARES, type SharesAnswer, type SharesRequest } from './messages.js';
 import type { QuotaTolerance } from './quota-budget.js';
-import { type NamedLimit, ShareRegistry } from './share-board.js';
+import { type NamedLimit, ShareRegistry } from './share-registry.js';
 
 /** Shares hold for so long after the answer that gave them, in milliseconds. */
 export const SHARE_LEASE_MS = 3_500;
--- a/src/quotas/share-board.test.ts
+++ b/src/quotas/share-board.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 import { GatewayShares } from './gateway-shares.js';
 import type { GrantedShare, HeldShare } from './messages.js';
-import { ShareRegistry } from './share-board.js';
+import { ShareRegistry } from './share-registry.js';
 
 const LEASE_MS = 3_500;
 const OVERLAP_MS = 300;
--- a/tests/support/program-simulation.ts
+++ b/tests/support/program-simulation.ts
@@ -1,7 +1,7 @@
 /** Programs of one tenant at one gateway beside a leader, on simulated time: how many come to their end. */
 import { SeededRandom } from '../../src/common/random.js';
 import { GatewayShares } from '../../src/quotas/gateway-shares.js';
-import { ShareRegistry } from '../../src/quotas/share-board.js';
+import { ShareRegistry } from '../../src/quotas/share-registry.js';
 import { TOLERANCE } from './quota-simulation.js';
 
 const LIMIT = { name: 'tenant', ratePerSecond: 60, burst: 60 };
--- a/tests/support/quota-simulation.ts
+++ b/tests/support/quota-simulation.ts
@@ -6,7 +6,7 @@
 import type { HeldShare, SharesAnswer } from '../../src/quotas/messages.js';
 import { GatewayShares } from '../../src/quotas/gateway-shares.js';
 import type { TenantLimit } from '../../src/quotas/quota-budget.js';
-import { ShareRegistry } from '../../src/quotas/share-board.js';
+import { ShareRegistry } from '../../src/quotas/share-registry.js';
 
 export const WINDOW_MS = 5_000;
 export const TOLERANCE = { over: 0.1, slack: 20, windowMs: WINDOW_MS };
