--- a/src/quotas/share-registry.ts
+++ b/src/quotas/share-registry.ts
@@ -18,7 +18,7 @@
 import { type TenantDemand, allocateShare, isWorthSharing } from './share-allocation.js';
 import { type GatewayHolding, NOTHING_HELD, TenantPool } from './tenant-pool.js';
 
-export interface ShareBoardOptions {
+export interface ShareRegistryOptions {
   tolerance: QuotaTolerance;
   /** Shares hold for so long after the answer that gave them, in milliseconds. */
   leaseMs: number;
@@ -65,7 +65,7 @@
   private leasesOverAt = 0;
   private fillsFrom = 0;
 
-  constructor(private readonly options: ShareBoardOptions) {}
+  constructor(private readonly options: ShareRegistryOptions) {}
 
   /**
    * This process leads from now on.
