--- a/src/quotas/share-registry.ts
+++ b/src/quotas/share-registry.ts
@@ -31,7 +31,7 @@
 }
 
 /** What the group has committed of shares that may be out. */
-export interface SharesOut {
+export interface OutstandingShares {
   /** Gateways that may hold shares. */
   gateways: Iterable<string>;
   /** Tenants of whose limits they may hold rates. */
@@ -71,7 +71,7 @@
    * This process leads from now on.
    * @param out what an earlier leader may have given
    */
-  begin({ gateways, tenants }: SharesOut, now: number): void {
+  begin({ gateways, tenants }: OutstandingShares, now: number): void {
     for (const state of [this.pools, this.gateways, this.unheard, this.uncertain, this.wanted]) {
       state.clear();
     }
