--- a/src/quotas/gateway-quotas.test.ts
+++ b/src/quotas/gateway-quotas.test.ts
@@ -8,7 +8,7 @@
 import { GroupClient, type PeerCaller } from '../consensus/index.js';
 import { createLogger } from '../observability/index.js';
 import { GatewayQuotas } from './gateway-quotas.js';
-import type { SharesAnswer, SharesRequest } from './messages.js';
+import type { SharesResponse, SharesRequest } from './messages.js';
 
 const LIMIT = { name: 'office', ratePerSecond: 50, burst: 50 };
 const SOON_MS = 50;
@@ -32,7 +32,7 @@
       scarceForMs: tokens > 0 ? 0 : 200,
       pressure: 1.5,
     }));
-    const answer: SharesAnswer = { term: 1, confirmedAgeMs: 0, shares };
+    const answer: SharesResponse = { term: 1, confirmedAgeMs: 0, shares };
     return Promise.resolve({ answer });
   };
   const peers = { call, isConnected: () => true } as unknown as PeerCaller;
--- a/src/quotas/gateway-quotas.ts
+++ b/src/quotas/gateway-quotas.ts
@@ -4,7 +4,7 @@
 import { type GroupClient, callLeader } from '../consensus/index.js';
 import type { LogFields, Logger } from '../observability/index.js';
 import { GatewayShares } from './gateway-shares.js';
-import { QUOTA_SHARES, type SharesAnswer, type SharesRequest } from './messages.js';
+import { QUOTA_SHARES, type SharesResponse, type SharesRequest } from './messages.js';
 import { type TenantLimit, isLimited } from './quota-budget.js';
 import { LEADER_OVERLAP_MS, SHARE_LEASE_MS } from './quota-leader.js';
 
@@ -193,7 +193,7 @@
     return isRecent && this.wasAnswered && this.shares.isLeased(now);
   }
 
-  private takeAnswer(answer: SharesAnswer, askedAt: number): void {
+  private takeAnswer(answer: SharesResponse, askedAt: number): void {
     if (answer.term < this.term || answer.confirmedAgeMs > LEADER_OVERLAP_MS) return;
     this.term = answer.term;
     if (!answer.shares) {
--- a/src/quotas/messages.ts
+++ b/src/quotas/messages.ts
@@ -39,7 +39,7 @@
   pressure: number;
 }
 
-export interface SharesAnswer {
+export interface SharesResponse {
   /** Of the leader that answers; an answer of an earlier term counts for nothing. */
   term: number;
   /** Time since a majority last stood behind that leader, in milliseconds. */
@@ -48,6 +48,6 @@
   shares?: GrantedShare[];
 }
 
-export const QUOTA_SHARES = defineMethod<SharesRequest, LeaderAnswer<SharesAnswer>>(
+export const QUOTA_SHARES = defineMethod<SharesRequest, LeaderAnswer<SharesResponse>>(
   'quotas.shares',
 );
--- a/src/quotas/quota-leader.test.ts
+++ b/src/quotas/quota-leader.test.ts
@@ -3,7 +3,7 @@
 import { sleep } from '../common/index.js';
 import type { LeaderAnswer, ReplicatedGroup } from '../consensus/index.js';
 import type { MethodRouter } from '../wire/index.js';
-import type { HeldShare, SharesAnswer, SharesRequest } from './messages.js';
+import type { HeldShare, SharesResponse, SharesRequest } from './messages.js';
 import { QuotaLeader } from './quota-leader.js';
 
 const LIMIT = { name: 'office', ratePerSecond: 100, burst: 100 };
@@ -11,12 +11,12 @@
 /** More than pools of a new leader wait, and than commits gather. */
 const SETTLED_MS = 450;
 
-type Handler = (request: SharesRequest) => Promise<LeaderAnswer<SharesAnswer>>;
+type Handler = (request: SharesRequest) => Promise<LeaderAnswer<SharesResponse>>;
 
 let committed: { gateways: Set<string>; tenants: Set<string> };
 let commits: number;
 let group: { term: number };
-let ask: (request: Partial<SharesRequest>) => Promise<SharesAnswer>;
+let ask: (request: Partial<SharesRequest>) => Promise<SharesResponse>;
 
 beforeEach(() => {
   committed = { gateways: new Set(), tenants: new Set() };
--- a/src/quotas/quota-leader.ts
+++ b/src/quotas/quota-leader.ts
@@ -2,7 +2,7 @@
 import { monotonicMs, sleep } from '../common/index.js';
 import { type ReplicatedGroup, answerAsLeader } from '../consensus/index.js';
 import type { MethodRouter } from '../wire/index.js';
-import { QUOTA_SHARES, type SharesAnswer, type SharesRequest } from './messages.js';
+import { QUOTA_SHARES, type SharesResponse, type SharesRequest } from './messages.js';
 import type { QuotaTolerance } from './quota-budget.js';
 import { type NamedLimit, ShareRegistry } from './share-registry.js';
 
@@ -60,7 +60,7 @@
     );
   }
 
-  private async answer(group: ReplicatedGroup, request: SharesRequest): Promise<SharesAnswer> {
+  private async answer(group: ReplicatedGroup, request: SharesRequest): Promise<SharesResponse> {
     this.refresh(group);
     const { gateway } = request;
     while (!this.options.sharesOut().gateways.has(gateway)) {
--- a/tests/support/quota-simulation.ts
+++ b/tests/support/quota-simulation.ts
@@ -3,7 +3,7 @@
  * messages that take time or are lost, gateways and leaders that go, and tenants whose callers move.
  */
 import { SeededRandom } from '../../src/common/random.js';
-import type { HeldShare, SharesAnswer } from '../../src/quotas/messages.js';
+import type { HeldShare, SharesResponse } from '../../src/quotas/messages.js';
 import { GatewayShares } from '../../src/quotas/gateway-shares.js';
 import type { TenantLimit } from '../../src/quotas/quota-budget.js';
 import { ShareRegistry } from '../../src/quotas/share-registry.js';
@@ -51,7 +51,7 @@
   waited: number;
 }
 
-interface Answer extends SharesAnswer {
+interface Answer extends SharesResponse {
   askedAt: number;
   arrivesAt: number;
 }
