--- a/src/quotas/gateway-quotas.ts
+++ b/src/quotas/gateway-quotas.ts
@@ -104,7 +104,7 @@
     if (!isCertain) {
       return { isAllowed: false, reason: 'uncertain', retryAfterMs: OUTAGE_RETURN_MS };
     }
-    const retryAfterMs = this.shares.returnAfterMs(tenant, now);
+    const retryAfterMs = this.shares.retryAfterMs(tenant, now);
     return { isAllowed: false, reason: 'over-limit', retryAfterMs };
   }
 
--- a/src/quotas/gateway-shares.ts
+++ b/src/quotas/gateway-shares.ts
@@ -96,7 +96,7 @@
    * When a caller that is refused had better come back, in milliseconds: each is told a token of its own, so that
    * callers come back at the rate at which tokens do.
    */
-  returnAfterMs(tenant: string, now: number): number {
+  retryAfterMs(tenant: string, now: number): number {
     const share = this.shareOf(tenant, now);
     const { ratePerSecond } = share.bucket.share;
     const gapMs = ratePerSecond > 0 ? MS_PER_SECOND / ratePerSecond : LATEST_RETURN_MS;
--- a/src/quotas/share-registry.test.ts
+++ b/src/quotas/share-registry.test.ts
@@ -102,7 +102,7 @@
     const shares = new GatewayShares();
     shares.noteCall('office', 0);
     shares.takeGranted([{ ...granted, tokens: 0 }], LEASE_MS, 0);
-    const times = Array.from({ length: 4 }, () => shares.returnAfterMs('office', 1_000));
+    const times = Array.from({ length: 4 }, () => shares.retryAfterMs('office', 1_000));
     expect(times).toEqual([150, 250, 350, 450]);
   });
 });
--- a/tests/support/program-simulation.ts
+++ b/tests/support/program-simulation.ts
@@ -89,5 +89,5 @@
     return;
   }
   program.returns += 1;
-  program.dueAt = now + shares.returnAfterMs(LIMIT.name, now);
+  program.dueAt = now + shares.retryAfterMs(LIMIT.name, now);
 }
