--- a/src/quotas/gateway-quotas.ts
+++ b/src/quotas/gateway-quotas.ts
@@ -203,7 +203,7 @@
     const now = monotonicMs();
     const leaseEndsAt = askedAt - answer.confirmedAgeMs + SHARE_LEASE_MS;
     this.answeredAt = askedAt;
-    if (leaseEndsAt > now) this.shares.takeGranted(answer.shares, leaseEndsAt, now);
+    if (leaseEndsAt > now) this.shares.applyGrants(answer.shares, leaseEndsAt, now);
   }
 
   private noteAnswered(isAnswered: boolean, reason: string): void {
--- a/src/quotas/gateway-shares.ts
+++ b/src/quotas/gateway-shares.ts
@@ -136,7 +136,7 @@
   }
 
   /** @param leaseEndsAt when the shares are over (monotonic, milliseconds) */
-  takeGranted(granted: readonly GrantedShare[], leaseEndsAt: number, now: number): void {
+  applyGrants(granted: readonly GrantedShare[], leaseEndsAt: number, now: number): void {
     this.leaseEndsAt = Math.max(this.leaseEndsAt, leaseEndsAt);
     for (const grant of granted) {
       const { tenant, ratePerSecond, capacity, tokens, scarceForMs, pressure } = grant;
--- a/src/quotas/share-registry.test.ts
+++ b/src/quotas/share-registry.test.ts
@@ -75,7 +75,7 @@
   it('let nothing pass past their lease, and are no longer held after it', () => {
     const shares = new GatewayShares();
     shares.noteCall('office', 0);
-    shares.takeGranted([granted], LEASE_MS, 0);
+    shares.applyGrants([granted], LEASE_MS, 0);
     expect(shares.take('office', false, LEASE_MS - 1)).toBe(true);
     expect(shares.take('office', false, LEASE_MS)).toBe(false);
     expect(shares.held(LEASE_MS)[0]).toMatchObject({ ratePerSecond: 0, capacity: 0, level: 0 });
@@ -84,7 +84,7 @@
   it('shrink with a limit that was lowered, tokens and all', () => {
     const shares = new GatewayShares();
     shares.noteCall('office', 0);
-    shares.takeGranted([{ ...granted, tokens: 10 }], LEASE_MS, 0);
+    shares.applyGrants([{ ...granted, tokens: 10 }], LEASE_MS, 0);
     shares.scaleDown('office', 0.2, 0);
     const passed = Array.from({ length: 10 }, () => shares.take('office', false, 0));
     expect(passed.filter(Boolean)).toHaveLength(2);
@@ -93,7 +93,7 @@
   it('keep a part for begun programs where the tenant asks for more than its limit', () => {
     const shares = new GatewayShares();
     shares.noteCall('office', 0);
-    shares.takeGranted([{ ...granted, pressure: 1.2 }], LEASE_MS, 0);
+    shares.applyGrants([{ ...granted, pressure: 1.2 }], LEASE_MS, 0);
     expect(shares.take('office', true, 0)).toBe(false);
     expect(shares.take('office', false, 0)).toBe(true);
   });
@@ -101,7 +101,7 @@
   it('tell refused callers to come back one token apart', () => {
     const shares = new GatewayShares();
     shares.noteCall('office', 0);
-    shares.takeGranted([{ ...granted, tokens: 0 }], LEASE_MS, 0);
+    shares.applyGrants([{ ...granted, tokens: 0 }], LEASE_MS, 0);
     const times = Array.from({ length: 4 }, () => shares.retryAfterMs('office', 1_000));
     expect(times).toEqual([150, 250, 350, 450]);
   });
--- a/tests/support/program-simulation.ts
+++ b/tests/support/program-simulation.ts
@@ -57,7 +57,7 @@
         held: shares.held(now),
         isPartial: false,
       };
-      shares.takeGranted(board.report(request, now)!, now + LEASE_MS, now);
+      shares.applyGrants(board.report(request, now)!, now + LEASE_MS, now);
     }
     if (now >= WARM_UP_MS && random.chance(programsPerStep)) {
       begun += 1;
--- a/tests/support/quota-simulation.ts
+++ b/tests/support/quota-simulation.ts
@@ -242,7 +242,7 @@
     gateway.term = answer.term;
     const leaseEndsAt = answer.askedAt - answer.confirmedAgeMs + LEASE_MS;
     if (!answer.shares) gateway.toldAllAt = Number.NEGATIVE_INFINITY;
-    else if (leaseEndsAt > now) gateway.shares.takeGranted(answer.shares, leaseEndsAt, now);
+    else if (leaseEndsAt > now) gateway.shares.applyGrants(answer.shares, leaseEndsAt, now);
   }
 
   private serveWaiting(gateway: SimulatedGateway, now: number): void {
