--- a/src/quotas/gateway-quotas.ts
+++ b/src/quotas/gateway-quotas.ts
@@ -174,7 +174,7 @@
     const { gateway, groups, group } = this.options;
     const { incarnation, sequence } = this;
     const isPartial = this.isBetweenRegular(askedAt);
-    const held = isPartial ? this.shares.heldOfShort(askedAt) : this.shares.held(askedAt);
+    const held = isPartial ? this.shares.heldByLowTenants(askedAt) : this.shares.held(askedAt);
     if (!isPartial) this.toldAllAt = askedAt;
     const request: SharesRequest = { gateway, incarnation, sequence, held, isPartial };
     try {
--- a/src/quotas/gateway-shares.ts
+++ b/src/quotas/gateway-shares.ts
@@ -128,7 +128,7 @@
   }
 
   /** What is held of those tenants whose calls wait, or will soon: all that a question between two regular ones names. */
-  heldOfShort(now: number): HeldShare[] {
+  heldByLowTenants(now: number): HeldShare[] {
     const short = [...this.shares].filter(
       ([tenant, { waiting }]) => waiting > 0 || this.isLow(tenant, now),
     );
--- a/tests/support/quota-simulation.ts
+++ b/tests/support/quota-simulation.ts
@@ -198,7 +198,7 @@
 
   private ask(index: number, gateway: SimulatedGateway, now: number): void {
     const isPartial = now - gateway.toldAllAt < REGULAR_MS && gateway.shares.isLeased(now);
-    const held = isPartial ? gateway.shares.heldOfShort(now) : gateway.shares.held(now);
+    const held = isPartial ? gateway.shares.heldByLowTenants(now) : gateway.shares.held(now);
     if (!isPartial) gateway.toldAllAt = now;
     gateway.isNeeded = false;
     gateway.askedAt = now;
