--- a/src/quotas/quota-leader.ts
+++ b/src/quotas/quota-leader.ts
@@ -70,7 +70,7 @@
     this.refresh(group);
     const now = monotonicMs();
     const shares = this.board.report(request, now);
-    if (this.board.wantsTenants) this.commitSoon();
+    if (this.board.hasPendingTenants) this.commitSoon();
     return { term: group.term, confirmedAgeMs: now - group.quorumContactMs(), shares };
   }
 
--- a/src/quotas/share-registry.ts
+++ b/src/quotas/share-registry.ts
@@ -116,7 +116,7 @@
   }
 
   /** Whether there are tenants of whose limits gateways should hold rates, and may not yet. */
-  get wantsTenants(): boolean {
+  get hasPendingTenants(): boolean {
     return this.wanted.size > 0;
   }
 
