--- a/src/quotas/quota-leader.ts
+++ b/src/quotas/quota-leader.ts
@@ -114,7 +114,7 @@
 
   private async commitAll(): Promise<void> {
     const newGateways = [...this.newGateways];
-    const newTenants = this.board.takeWantedTenants();
+    const newTenants = this.board.takePendingTenants();
     this.newGateways.clear();
     const gateways = [...new Set([...this.gatewaysInUse(), ...newGateways])];
     const tenants = [...new Set([...this.tenantsInUse(), ...newTenants])];
--- a/src/quotas/share-registry.ts
+++ b/src/quotas/share-registry.ts
@@ -121,7 +121,7 @@
   }
 
   /** These tenants; they are named once. */
-  takeWantedTenants(): string[] {
+  takePendingTenants(): string[] {
     const tenants = [...this.wanted];
     this.wanted.clear();
     return tenants;
--- a/tests/support/quota-simulation.ts
+++ b/tests/support/quota-simulation.ts
@@ -229,7 +229,7 @@
     this.holders.add(gateway);
     const request = { gateway, incarnation: String(incarnation), sequence, held, isPartial };
     const shares = board.report(request, at);
-    for (const tenant of board.takeWantedTenants()) this.sharedTenants.add(tenant);
+    for (const tenant of board.takePendingTenants()) this.sharedTenants.add(tenant);
     const confirmedAgeMs = Math.max(0, at - confirmedUntil);
     return { term, confirmedAgeMs, shares, askedAt, arrivesAt: at + 1 + this.random.uniform() * 8 };
   }
