--- a/src/forwarding/backend-view.ts
+++ b/src/forwarding/backend-view.ts
@@ -1,7 +1,7 @@
 /** The back ends as one gateway knows them: registrations, its own calls, and its experiences. */
 import { monotonicMs } from '../common/index.js';
 import type { BackendLoad, BackendRecord } from '../directory/index.js';
-import { Pace, ServiceModel } from '../performance/index.js';
+import { SlowdownEstimator, ServiceModel } from '../performance/index.js';
 import type { PromptPart } from './call-exchange.js';
 import { BackendConnections } from './backend-connections.js';
 import { PromptCacheView } from './prompt-cache-view.js';
@@ -29,7 +29,7 @@
   otherInFlight = 0;
   readonly connections: BackendConnections;
   /** How much longer than others it takes for the same work. */
-  readonly pace = new Pace();
+  readonly pace = new SlowdownEstimator();
   private readonly cache: PromptCacheView;
   private suspectUntil = 0;
   private failures = 0;
--- a/src/performance/index.ts
+++ b/src/performance/index.ts
@@ -1,3 +1,3 @@
 /** How fast back ends are, from the calls of this process. */
-export { Pace } from './pace.js';
+export { SlowdownEstimator } from './pace.js';
 export { type CallWork, ServiceModel } from './service-model.js';
--- a/src/performance/pace.ts
+++ b/src/performance/pace.ts
@@ -17,7 +17,7 @@
 /** A difference counts beyond so many standard errors. */
 const SIGNIFICANT_ERRORS = 1.5;
 
-export class Pace {
+export class SlowdownEstimator {
   /** Mean of the logarithms of observed over expected times. */
   private mean = 0;
   private variance = PRIOR_VARIANCE;
--- a/src/performance/performance.test.ts
+++ b/src/performance/performance.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 import { SeededRandom } from '../common/index.js';
 import { DecayingLeastSquares } from './decaying-least-squares.js';
-import { Pace } from './pace.js';
+import { SlowdownEstimator } from './pace.js';
 import { type CallWork, ServiceModel } from './service-model.js';
 
 /** An engine as the tests know it; its calls vary around these figures. */
@@ -137,8 +137,8 @@
 describe('pace of a back end', () => {
   const EXPECTED_MS = 200;
 
-  function paceAfter(ratios: readonly number[], clock = (): number => 0): Pace {
-    const pace = new Pace(clock);
+  function paceAfter(ratios: readonly number[], clock = (): number => 0): SlowdownEstimator {
+    const pace = new SlowdownEstimator(clock);
     for (const ratio of ratios) pace.note(EXPECTED_MS * ratio, EXPECTED_MS);
     return pace;
   }
