--- a/src/performance/performance.test.ts
+++ b/src/performance/performance.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 import { SeededRandom } from '../common/index.js';
 import { DecayingLeastSquares } from './decaying-least-squares.js';
-import { SlowdownEstimator } from './pace.js';
+import { SlowdownEstimator } from './slowdown-estimator.js';
 import { type CallWork, ServiceModel } from './service-model.js';
 
 /** An engine as the tests know it; its calls vary around these figures. */
