--- a/src/forwarding/backend-view.ts
+++ b/src/forwarding/backend-view.ts
@@ -1,7 +1,7 @@
 /** The back ends as one gateway knows them: registrations, its own calls, and its experiences. */
 import { monotonicMs } from '../common/index.js';
 import type { BackendLoad, BackendRecord } from '../directory/index.js';
-import { SlowdownEstimator, ServiceModel } from '../performance/index.js';
+import { SlowdownEstimator, LatencyModel } from '../performance/index.js';
 import type { PromptPart } from './call-exchange.js';
 import { BackendConnections } from './backend-connections.js';
 import { PromptCacheView } from './prompt-cache-view.js';
@@ -39,7 +39,7 @@
   constructor(
     public record: BackendRecord,
     /** How long calls of the service take. */
-    readonly model: ServiceModel,
+    readonly model: LatencyModel,
     private readonly limits: BackendLimits,
   ) {
     const { service, address } = record;
@@ -124,7 +124,7 @@
 export class BackendView {
   private readonly backends = new Map<string, BackendState>();
   private byService = new Map<string, BackendState[]>();
-  private readonly models = new Map<string, ServiceModel>();
+  private readonly models = new Map<string, LatencyModel>();
 
   constructor(private readonly limits: BackendLimits) {}
 
@@ -189,10 +189,10 @@
     this.backends.set(record.id, new BackendState(record, model, this.limits));
   }
 
-  private modelOf(service: string): ServiceModel {
+  private modelOf(service: string): LatencyModel {
     const known = this.models.get(service);
     if (known) return known;
-    const model = new ServiceModel();
+    const model = new LatencyModel();
     this.models.set(service, model);
     return model;
   }
--- a/src/forwarding/call-run.ts
+++ b/src/forwarding/call-run.ts
@@ -1,7 +1,7 @@
 /** One forwarded call from its placement to its final answer, written straight down. */
 import { monotonicMs } from '../common/index.js';
 import type { CompiledRoute } from '../routes/index.js';
-import type { CallWork, ServiceModel } from '../performance/index.js';
+import type { CallWork, LatencyModel } from '../performance/index.js';
 import type { BackendConnection } from './backend-connections.js';
 import type { BackendProtocol } from './backend-protocol.js';
 import type { BackendState, BackendView } from './backend-view.js';
@@ -74,7 +74,7 @@
   private stayWith: Choice | undefined;
   private attempt: SendAttempt | undefined;
   /** How long calls of the service take, once the call was sent. */
-  private model: ServiceModel | undefined;
+  private model: LatencyModel | undefined;
   private resends = 0;
   /** When the latest send began (monotonic, milliseconds). */
   private sentAt = 0;
--- a/src/performance/performance.test.ts
+++ b/src/performance/performance.test.ts
@@ -3,7 +3,7 @@
 import { SeededRandom } from '../common/index.js';
 import { DecayingLeastSquares } from './decaying-least-squares.js';
 import { SlowdownEstimator } from './slowdown-estimator.js';
-import { type CallWork, ServiceModel } from './service-model.js';
+import { type CallWork, LatencyModel } from './service-model.js';
 
 /** An engine as the tests know it; its calls vary around these figures. */
 interface TrueEngine {
@@ -29,7 +29,7 @@
   return 10 + missingTokens / engine.tokensPerMs + events * eventMs;
 }
 
-function teach(model: ServiceModel, engine: TrueEngine, calls: number, random: SeededRandom): void {
+function teach(model: LatencyModel, engine: TrueEngine, calls: number, random: SeededRandom): void {
   for (let call = 0; call < calls; call += 1) {
     const work = drawWork(random);
     const noise = 1 + SPREAD * (2 * random.uniform() - 1);
@@ -38,7 +38,7 @@
 }
 
 /** Mean relative error of predictions. */
-function errorOf(model: ServiceModel, engine: TrueEngine, random: SeededRandom): number {
+function errorOf(model: LatencyModel, engine: TrueEngine, random: SeededRandom): number {
   const samples = 200;
   let sum = 0;
   for (let sample = 0; sample < samples; sample += 1) {
@@ -59,14 +59,14 @@
 describe('the model of a service', () => {
   it.each(ENGINES)('predicts an engine of $tokensPerMs tokens a ms after 100 calls', (engine) => {
     const random = new SeededRandom(71);
-    const model = new ServiceModel();
+    const model = new LatencyModel();
     teach(model, engine, 100, random);
     expect(errorOf(model, engine, random)).toBeLessThan(0.2);
   });
 
   it('learns how fast prompts are read, from 10 to 1,000 tokens a millisecond', () => {
     for (const engine of ENGINES.slice(0, 3)) {
-      const model = new ServiceModel();
+      const model = new LatencyModel();
       teach(model, engine, 300, new SeededRandom(72));
       const ratio = model.msPerToken * engine.tokensPerMs;
       expect(ratio).toBeGreaterThan(0.6);
@@ -76,7 +76,7 @@
 
   it('follows a change of all engines within 200 calls', () => {
     const random = new SeededRandom(73);
-    const model = new ServiceModel();
+    const model = new LatencyModel();
     teach(model, ENGINES[2]!, 500, random);
     teach(model, ENGINES[1]!, 200, random);
     expect(errorOf(model, ENGINES[1]!, random)).toBeLessThan(0.45);
@@ -86,7 +86,7 @@
 
   it('is not led astray by one call in twenty that takes twenty times as long', () => {
     const random = new SeededRandom(74);
-    const model = new ServiceModel();
+    const model = new LatencyModel();
     for (let round = 0; round < 30; round += 1) {
       teach(model, ENGINES[1]!, 19, random);
       const work = drawWork(random);
@@ -98,7 +98,7 @@
   it('remembers what calls take on idle engines while all are overloaded', () => {
     const random = new SeededRandom(77);
     const engine = ENGINES[1]!;
-    const model = new ServiceModel();
+    const model = new LatencyModel();
     teach(model, engine, 200, random);
     const work = { missingTokens: 800, events: 10 };
     const calm = timeOf(engine, { ...work, load: 0 });
@@ -111,7 +111,7 @@
   });
 
   it('predicts something for calls of plain services, which have neither prompts nor events', () => {
-    const model = new ServiceModel();
+    const model = new LatencyModel();
     for (let call = 0; call < 60; call += 1) {
       model.observe({ missingTokens: 0, load: call % 4, events: 0 }, 80 + (call % 9), PLACES);
     }
--- a/src/performance/service-model.ts
+++ b/src/performance/service-model.ts
@@ -34,7 +34,7 @@
 /** Share of the newest call in the mean events and the mean time of a call. */
 const MEAN_SHARE = 0.05;
 
-export class ServiceModel {
+export class LatencyModel {
   private readonly regression = createRegression();
   /** Learns from calls at back ends that had little to do. */
   private readonly calmRegression = createRegression();
