--- a/src/performance/performance.test.ts
+++ b/src/performance/performance.test.ts
@@ -3,7 +3,7 @@
 import { SeededRandom } from '../common/index.js';
 import { DecayingLeastSquares } from './decaying-least-squares.js';
 import { SlowdownEstimator } from './slowdown-estimator.js';
-import { type CallWork, LatencyModel } from './service-model.js';
+import { type CallWork, LatencyModel } from './latency-model.js';
 
 /** An engine as the tests know it; its calls vary around these figures. */
 interface TrueEngine {
