--- a/src/forwarding/call-run.ts
+++ b/src/forwarding/call-run.ts
@@ -110,7 +110,10 @@
   get calmMs(): number | undefined {
     const { promptParts } = this.options.exchange.description;
     const events = this.answer instanceof StreamRelay ? this.answer.events : 0;
-    return this.model?.predictCalmMs({ missingTokens: promptParts.at(-1)?.tokens ?? 0, events });
+    return this.model?.predictUnloadedMs({
+      missingTokens: promptParts.at(-1)?.tokens ?? 0,
+      events,
+    });
   }
 
   /** Sends the call until it is answered or nothing more may be tried. Does not end the answer. */
--- a/src/performance/latency-model.ts
+++ b/src/performance/latency-model.ts
@@ -86,7 +86,7 @@
   }
 
   /** Time that a call would take where nothing else runs, by what calm times have shown. */
-  predictCalmMs(work: Omit<CallWork, 'load'>): number {
+  predictUnloadedMs(work: Omit<CallWork, 'load'>): number {
     return predict(this.calmRegression, { ...work, load: 0 });
   }
 }
--- a/src/performance/performance.test.ts
+++ b/src/performance/performance.test.ts
@@ -106,8 +106,8 @@
       const overloaded = { ...drawWork(random), load: random.integer(20, 40) };
       model.observe(overloaded, 5 * timeOf(engine, overloaded), PLACES);
     }
-    expect(model.predictCalmMs(work) / calm).toBeGreaterThan(0.7);
-    expect(model.predictCalmMs(work) / calm).toBeLessThan(1.4);
+    expect(model.predictUnloadedMs(work) / calm).toBeGreaterThan(0.7);
+    expect(model.predictUnloadedMs(work) / calm).toBeLessThan(1.4);
   });
 
   it('predicts something for calls of plain services, which have neither prompts nor events', () => {
