--- a/src/backends/backend.ts
+++ b/src/backends/backend.ts
@@ -60,7 +60,7 @@
   }
 
   /** Notes that the back end did not answer when asked for its load. */
-  noteSilence(): void {
+  notePollFailure(): void {
     this.silences += 1;
     this.reportedAtMs = monotonicMs();
   }
--- a/src/backends/load-poller.ts
+++ b/src/backends/load-poller.ts
@@ -75,7 +75,7 @@
     try {
       backend.noteReport(await this.options.fetchLoad(backend));
     } catch {
-      backend.noteSilence();
+      backend.notePollFailure();
     }
     this.busy.delete(backend);
   }
