--- a/src/ledger/ledger-client.ts
+++ b/src/ledger/ledger-client.ts
@@ -14,7 +14,7 @@
 import { AllowanceTracker } from './allowance-tracker.js';
 import type { HistoryReader } from './history-reader.js';
 import { HistoryMissingError, NotReservedError } from './ledger-errors.js';
-import { OutageEstimate } from './outage-estimate.js';
+import { OutageEstimator } from './outage-estimator.js';
 import type { Settlement } from './ledger-commands.js';
 import type { Logger } from '../observability/index.js';
 import type { Method } from '../wire/index.js';
@@ -56,7 +56,7 @@
 export class LedgerClient {
   private readonly queue = new SettlementQueue();
   private readonly allowances = new AllowanceTracker();
-  private readonly outage = new OutageEstimate();
+  private readonly outage = new OutageEstimator();
   private readonly window = new ReservationWindow(() => this.outage.remainingMs > 0);
   private isSending = false;
   private isProbing = false;
--- a/src/ledger/outage-estimate.test.ts
+++ b/src/ledger/outage-estimator.test.ts
@@ -4,7 +4,7 @@
  */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { SeededRandom } from '../common/index.js';
-import { OutageEstimate } from './outage-estimate.js';
+import { OutageEstimator } from './outage-estimator.js';
 
 const CALL_TIME_MS = 3_000;
 const LEAST_TURN_MS = 100;
@@ -36,10 +36,10 @@
 function play(
   seed: number,
   drawOutageMs: DrawOutageMs,
-  waitOf: (estimate: OutageEstimate) => number,
+  waitOf: (estimate: OutageEstimator) => number,
 ): Outcome {
   const random = new SeededRandom(seed);
-  const estimate = new OutageEstimate();
+  const estimate = new OutageEstimator();
   const outcome: Outcome = { served: 0, wastedMs: 0 };
   for (let outage = 0; outage < OUTAGES; outage += 1) {
     const lastsMs = drawOutageMs(random);
@@ -58,7 +58,7 @@
 
 describe('an estimate of outages', () => {
   it('expects what outages have lasted and, past that, as long again', () => {
-    const estimate = new OutageEstimate();
+    const estimate = new OutageEstimator();
     estimate.noteAsked();
     expect(estimate.remainingMs).toBe(0);
     vi.advanceTimersByTime(400);
@@ -70,7 +70,7 @@
   });
 
   it('lets nobody wait for what will hardly come in time, and believes old failures no more', () => {
-    const estimate = new OutageEstimate();
+    const estimate = new OutageEstimator();
     estimate.noteAsked();
     vi.advanceTimersByTime(4_000);
     expect(estimate.waitMs(CALL_TIME_MS)).toBe(0);
--- a/src/ledger/outage-estimate.ts
+++ b/src/ledger/outage-estimator.ts
@@ -14,7 +14,7 @@
 /** Share of the latest outage in what is expected of the next. */
 const LATEST_SHARE = 0.3;
 
-export class OutageEstimate {
+export class OutageEstimator {
   private unansweredSince: number | undefined;
   private outstanding = 0;
   private failedAt = Number.NEGATIVE_INFINITY;
