--- a/src/ledger/ledger-client.ts
+++ b/src/ledger/ledger-client.ts
@@ -48,7 +48,7 @@
 const SUSPECT_MS = 400;
 
 /** A reservation as the caller's side sees it. */
-export interface Reserved extends ReserveAnswer {
+export interface LedgerReservation extends ReserveAnswer {
   /** Most tokens taken from the allowance, if the ledger was not asked or did not answer. */
   allowanceTaken?: number;
 }
@@ -102,7 +102,7 @@
     usefulMs: number,
     mayUseAllowance: boolean,
     steps = new ReservationTrace(),
-  ): Promise<Reserved> {
+  ): Promise<LedgerReservation> {
     steps.knownLeader = this.groups.lastHeardLeader(LEDGER_GROUP);
     const { program, mostTokens } = request;
     const isCovered = mayUseAllowance && this.allowances.covers(program, mostTokens);
@@ -235,7 +235,7 @@
     program: string;
     attempt: string;
     mostTokens: number;
-  }): Reserved {
+  }): LedgerReservation {
     this.allowances.take(program, mostTokens);
     this.logger.info('ledger.allowance-used', { call: attempt, program, tokens: mostTokens });
     return { outcome: 'granted', allowanceTokens: 0, allowanceTaken: mostTokens };
