--- a/src/ledger/history-reader.ts
+++ b/src/ledger/history-reader.ts
@@ -14,7 +14,7 @@
 const READ_LIMITS = { connectMs: 250, timeoutMs: 250 };
 
 /** A history, and the member that gave it. */
-export interface ReadHistory {
+export interface HistoryReadResult {
   history: Uint8Array;
   address: string;
 }
@@ -36,7 +36,7 @@
     turn: string,
     { addresses, atIndex }: HistorySource,
     limitMs: number,
-  ): Promise<ReadHistory> {
+  ): Promise<HistoryReadResult> {
     const deadlineMs = monotonicMs() + limitMs;
     for (const address of addresses) {
       if (monotonicMs() >= deadlineMs) break;
