--- a/src/ledger/leader-history.ts
+++ b/src/ledger/leader-history.ts
@@ -5,7 +5,7 @@
 import { type TurnHistories, TurnValuesMissingError } from './turn-histories.js';
 
 /** A member that has not answered its leader for so long is asked for nothing, in milliseconds. */
-export const LATE_MEMBER_MS = 500;
+export const MEMBER_CONTACT_TIMEOUT_MS = 500;
 /** A member that answers is heard at least as often, in milliseconds: two heartbeats, and some for the way. */
 const HEARD_INTERVAL_MS = 150;
 const HEARD_CHECK_INTERVAL_MS = 10;
@@ -23,7 +23,9 @@
 ): Promise<LeaderHistory> {
   const askedAt = monotonicMs();
   const others = group.configuration.members.filter(({ id }) => id !== group.ownId);
-  const asked = others.filter(({ id }) => group.contactMsOf(id) >= askedAt - LATE_MEMBER_MS);
+  const asked = others.filter(
+    ({ id }) => group.contactMsOf(id) >= askedAt - MEMBER_CONTACT_TIMEOUT_MS,
+  );
   // What is heard later says nothing of those that were silent when they were asked, or not asked: they may be back.
   const heard = others.filter(({ id }) => group.contactMsOf(id) >= askedAt - HEARD_INTERVAL_MS);
   const silent = others.filter((member) => !heard.includes(member) && !isReplaced(member, heard));
--- a/src/ledger/ledger-service.ts
+++ b/src/ledger/ledger-service.ts
@@ -8,7 +8,7 @@
 } from '../consensus/index.js';
 import { type MethodRouter, encodeValue } from '../wire/index.js';
 import { encodeTurnValue } from './kept-turn-index.js';
-import { LATE_MEMBER_MS, readAtLeader } from './leader-history.js';
+import { MEMBER_CONTACT_TIMEOUT_MS, readAtLeader } from './leader-history.js';
 import {
   type LedgerCommand,
   type ReserveResult,
@@ -83,7 +83,7 @@
   private historySource(group: ReplicatedGroup, turn: string): HistorySource | undefined {
     const atIndex = this.options.stateMachine.turns.keptAtIndex(turn);
     if (atIndex === undefined) return undefined;
-    const heardSince = monotonicMs() - LATE_MEMBER_MS;
+    const heardSince = monotonicMs() - MEMBER_CONTACT_TIMEOUT_MS;
     const holders = group.configuration.members.filter(
       ({ id }) =>
         id !== group.ownId &&
