--- a/src/ledger/leader-history.test.ts
+++ b/src/ledger/leader-history.test.ts
@@ -6,7 +6,7 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { monotonicMs, sleep } from '../common/index.js';
 import type { Member, ReplicatedGroup } from '../consensus/index.js';
-import { type LeaderHistory, readAtLeader } from './leader-history.js';
+import { type LeaderHistory, readHistoryAsLeader } from './leader-history.js';
 import { type TurnHistories, TurnValuesMissingError } from './turn-histories.js';
 
 const HEARTBEAT_MS = 60;
@@ -46,7 +46,7 @@
       throw new TurnValuesMissingError(REASON, { step: 'test' });
     };
     const histories = { read } as unknown as TurnHistories;
-    const answer = readAtLeader(this as unknown as ReplicatedGroup, histories, 'turn');
+    const answer = readHistoryAsLeader(this as unknown as ReplicatedGroup, histories, 'turn');
     await vi.advanceTimersByTimeAsync(1_000);
     return answer;
   }
--- a/src/ledger/leader-history.ts
+++ b/src/ledger/leader-history.ts
@@ -16,7 +16,7 @@
 }
 
 /** A member that does not answer is not asked: whoever waits for the leader would wait for it as well. */
-export async function readAtLeader(
+export async function readHistoryAsLeader(
   group: ReplicatedGroup,
   histories: TurnHistories,
   turn: string,
--- a/src/ledger/ledger-service.ts
+++ b/src/ledger/ledger-service.ts
@@ -8,7 +8,7 @@
 } from '../consensus/index.js';
 import { type MethodRouter, encodeValue } from '../wire/index.js';
 import { encodeTurnValue } from './kept-turn-index.js';
-import { MEMBER_CONTACT_TIMEOUT_MS, readAtLeader } from './leader-history.js';
+import { MEMBER_CONTACT_TIMEOUT_MS, readHistoryAsLeader } from './leader-history.js';
 import {
   type LedgerCommand,
   type ReserveResult,
@@ -130,7 +130,7 @@
     const source = mayReadElsewhere ? this.historySource(group, previousTurn) : undefined;
     if (source) return { ...result, historySource: source };
     const { external } = this.options.stateMachine;
-    const { history, missingHistory } = await readAtLeader(group, external, previousTurn);
+    const { history, missingHistory } = await readHistoryAsLeader(group, external, previousTurn);
     this.sentBytes.histories += history?.length ?? 0;
     return { ...result, history, missingHistory };
   }
