--- a/src/ledger/index.ts
+++ b/src/ledger/index.ts
@@ -10,7 +10,7 @@
 } from './reservation-trace.js';
 export { LedgerService } from './ledger-service.js';
 export { LedgerStateMachine } from './ledger-state-machine.js';
-export { TurnValuesMissingError } from './turn-histories.js';
+export { TurnValuesMissingError } from './turn-history-store.js';
 export type { TurnValues } from './turn-values.js';
 export * from './messages.js';
 export type { TurnPlacement } from './program-placements.js';
--- a/src/ledger/leader-history.test.ts
+++ b/src/ledger/leader-history.test.ts
@@ -7,7 +7,7 @@
 import { monotonicMs, sleep } from '../common/index.js';
 import type { Member, ReplicatedGroup } from '../consensus/index.js';
 import { type LeaderHistory, readHistoryAsLeader } from './leader-history.js';
-import { type TurnHistories, TurnValuesMissingError } from './turn-histories.js';
+import { type TurnHistoryStore, TurnValuesMissingError } from './turn-history-store.js';
 
 const HEARTBEAT_MS = 60;
 const READ_MS = 5;
@@ -45,7 +45,7 @@
       await sleep(READ_MS);
       throw new TurnValuesMissingError(REASON, { step: 'test' });
     };
-    const histories = { read } as unknown as TurnHistories;
+    const histories = { read } as unknown as TurnHistoryStore;
     const answer = readHistoryAsLeader(this as unknown as ReplicatedGroup, histories, 'turn');
     await vi.advanceTimersByTimeAsync(1_000);
     return answer;
--- a/src/ledger/leader-history.ts
+++ b/src/ledger/leader-history.ts
@@ -2,7 +2,7 @@
 import { monotonicMs, sleep } from '../common/index.js';
 import type { Member, ReplicatedGroup } from '../consensus/index.js';
 import type { MissingHistory } from './messages.js';
-import { type TurnHistories, TurnValuesMissingError } from './turn-histories.js';
+import { type TurnHistoryStore, TurnValuesMissingError } from './turn-history-store.js';
 
 /** A member that has not answered its leader for so long is asked for nothing, in milliseconds. */
 export const MEMBER_CONTACT_TIMEOUT_MS = 500;
@@ -18,7 +18,7 @@
 /** A member that does not answer is not asked: whoever waits for the leader would wait for it as well. */
 export async function readHistoryAsLeader(
   group: ReplicatedGroup,
-  histories: TurnHistories,
+  histories: TurnHistoryStore,
   turn: string,
 ): Promise<LeaderHistory> {
   const askedAt = monotonicMs();
--- a/src/ledger/ledger-state-machine.ts
+++ b/src/ledger/ledger-state-machine.ts
@@ -14,7 +14,7 @@
 } from './ledger-commands.js';
 import { type EncodedAccount, ProgramBudgets } from './program-budgets.js';
 import { type EncodedPlacements, ProgramPlacements } from './program-placements.js';
-import { type ReadTurnsAt, TurnHistories } from './turn-histories.js';
+import { type ReadTurnsAt, TurnHistoryStore } from './turn-history-store.js';
 import type { TurnValues } from './turn-values.js';
 
 const SWEEP_INTERVAL_MS = 5_000;
@@ -44,7 +44,7 @@
   readonly budgets = new ProgramBudgets();
   readonly turns: KeptTurnIndex;
   readonly placements = new ProgramPlacements();
-  readonly external: TurnHistories;
+  readonly external: TurnHistoryStore;
   private clock = 0;
   private sweptAtMs = 0;
   /** Log index of the command that is being applied. */
@@ -52,7 +52,7 @@
 
   constructor(private readonly options: LedgerStateOptions) {
     this.turns = new KeptTurnIndex(options.values);
-    this.external = new TurnHistories({
+    this.external = new TurnHistoryStore({
       ...options,
       turns: this.turns,
       turnsNamedBy,
--- a/src/ledger/loss-reports-renewed-member.test.ts
+++ b/src/ledger/loss-reports-renewed-member.test.ts
@@ -5,7 +5,7 @@
 import { createLogger } from '../observability/index.js';
 import { encodeValue } from '../wire/index.js';
 import { LedgerStateMachine } from './ledger-state-machine.js';
-import { TurnValuesMissingError } from './turn-histories.js';
+import { TurnValuesMissingError } from './turn-history-store.js';
 
 const RETENTION_MS = 60_000;
 const TURN = 'a';
--- a/src/ledger/turn-histories.test.ts
+++ b/src/ledger/turn-histories.test.ts
@@ -8,7 +8,7 @@
 import { encodeValue } from '../wire/index.js';
 import { LedgerStateMachine } from './ledger-state-machine.js';
 import type { ReadTurnsRequest } from './messages.js';
-import { TurnValuesMissingError } from './turn-histories.js';
+import { TurnValuesMissingError } from './turn-history-store.js';
 
 const RETENTION_MS = 60_000;
 const CONFIGURATION = new Uint8Array(0);
--- a/src/ledger/turn-histories.ts
+++ b/src/ledger/turn-history-store.ts
@@ -63,7 +63,7 @@
   logger: Logger;
 }
 
-export class TurnHistories implements ExternalState {
+export class TurnHistoryStore implements ExternalState {
   private readonly copyArrived = new SignalEvent();
   /** The latest fetch of what entries name. */
   private obtaining: Promise<void> = Promise.resolve();
