--- a/src/forwarding/turn-reservations.test.ts
+++ b/src/forwarding/turn-reservations.test.ts
@@ -6,7 +6,7 @@
 import {
   LedgerClient,
   RESERVE,
-  type ReserveAnswer,
+  type ReserveResponse,
   SETTLE,
   type SettleRequest,
 } from '../ledger/index.js';
@@ -42,7 +42,7 @@
 class SwitchedLedger implements PeerCaller {
   isUp = true;
   /** What reservations are answered with, beside being granted. */
-  granted: Pick<ReserveAnswer, 'missingHistory'> = {};
+  granted: Pick<ReserveResponse, 'missingHistory'> = {};
   readonly settled: SettleRequest[] = [];
 
   isConnected(): boolean {
--- a/src/ledger/history-reader.test.ts
+++ b/src/ledger/history-reader.test.ts
@@ -13,7 +13,7 @@
 import { GroupClient, callLeader } from '../consensus/index.js';
 import { HistoryNotReadError } from './history-reader.js';
 import { LedgerClient } from './ledger-client.js';
-import { LEDGER_GROUP, RESERVE, type ReserveAnswer, SETTLE } from './messages.js';
+import { LEDGER_GROUP, RESERVE, type ReserveResponse, SETTLE } from './messages.js';
 
 const LIMITS = { timeoutMs: 5_000 };
 
@@ -26,7 +26,7 @@
 }
 
 describe('a history', () => {
-  function reserve(groups: GroupClient, mayReadElsewhere: boolean): Promise<ReserveAnswer> {
+  function reserve(groups: GroupClient, mayReadElsewhere: boolean): Promise<ReserveResponse> {
     const request = { ...NEXT_TURN, mayReadElsewhere };
     return callLeader(groups, LEDGER_GROUP, RESERVE, request, LIMITS);
   }
--- a/src/ledger/ledger-client.ts
+++ b/src/ledger/ledger-client.ts
@@ -18,7 +18,7 @@
 import type { Settlement } from './ledger-commands.js';
 import type { Logger } from '../observability/index.js';
 import type { Method } from '../wire/index.js';
-import { LEDGER_GROUP, RESERVE, type ReserveAnswer, SETTLE } from './messages.js';
+import { LEDGER_GROUP, RESERVE, type ReserveResponse, SETTLE } from './messages.js';
 import { ReservationAttempt, type TurnRequest } from './reservation-attempt.js';
 import { ReservationTrace } from './reservation-trace.js';
 import { ReservationWindow } from './reservation-window.js';
@@ -48,7 +48,7 @@
 const SUSPECT_MS = 400;
 
 /** A reservation as the caller's side sees it. */
-export interface LedgerReservation extends ReserveAnswer {
+export interface LedgerReservation extends ReserveResponse {
   /** Most tokens taken from the allowance, if the ledger was not asked or did not answer. */
   allowanceTaken?: number;
 }
@@ -165,7 +165,7 @@
     request: TurnRequest,
     limitMs: number,
     steps: ReservationTrace,
-  ): Promise<ReserveAnswer> {
+  ): Promise<ReserveResponse> {
     const { histories, logger } = this;
     const ask = this.ask.bind(this);
     return new ReservationAttempt({ request, limitMs, steps, ask, histories, logger }).run();
@@ -176,7 +176,7 @@
     request: TurnRequest,
     limitMs: number,
     steps: ReservationTrace,
-  ): Promise<ReserveAnswer> {
+  ): Promise<ReserveResponse> {
     const askedAt = monotonicMs();
     const hasEntered = await this.window.enter(limitMs);
     const enteredAt = monotonicMs();
@@ -199,7 +199,7 @@
   }
 
   /** Takes waiting settlements along; the window was entered before. */
-  private async askLeader(request: TurnRequest, timeoutMs: number): Promise<ReserveAnswer> {
+  private async askLeader(request: TurnRequest, timeoutMs: number): Promise<ReserveResponse> {
     const startedAt = monotonicMs();
     const batch = this.queue.take(this.mayRide ? undefined : 0);
     const { settlements } = batch;
--- a/src/ledger/ledger-service.ts
+++ b/src/ledger/ledger-service.ts
@@ -26,7 +26,7 @@
   type ReadHistoryRequest,
   type ReadTurnsAnswer,
   type ReadTurnsRequest,
-  type ReserveAnswer,
+  type ReserveResponse,
   type ReserveRequest,
   SETTLE,
   type SettleAnswer,
@@ -118,7 +118,7 @@
     return { ...answer, memberId: this.options.findGroup()?.ownId };
   }
 
-  private async reserve(group: ReplicatedGroup, request: ReserveRequest): Promise<ReserveAnswer> {
+  private async reserve(group: ReplicatedGroup, request: ReserveRequest): Promise<ReserveResponse> {
     if (this.options.mustRefuse()) throw overloadedError();
     const { wantsHistory, mayReadElsewhere, copyTargets: known, ...reservation } = request;
     const command: LedgerCommand = { kind: 'reserve', ...reservation, nowMs: this.nowMs(group) };
--- a/src/ledger/messages.ts
+++ b/src/ledger/messages.ts
@@ -40,7 +40,7 @@
   silentMs?: number;
 }
 
-export interface ReserveAnswer extends ReserveResult {
+export interface ReserveResponse extends ReserveResult {
   /** What the turn continues from, oldest first, when it names a predecessor. */
   history?: Uint8Array;
   /** In place of a history that the leader could not get. */
@@ -109,5 +109,7 @@
   'ledger.read-history',
 );
 export const READ_TURNS = defineMethod<ReadTurnsRequest, ReadTurnsAnswer>('ledger.read-turns');
-export const RESERVE = defineMethod<ReserveRequest, LeaderAnswer<ReserveAnswer>>('ledger.reserve');
+export const RESERVE = defineMethod<ReserveRequest, LeaderAnswer<ReserveResponse>>(
+  'ledger.reserve',
+);
 export const SETTLE = defineMethod<SettleRequest, LeaderAnswer<SettleAnswer>>('ledger.settle');
--- a/src/ledger/reservation-attempt.ts
+++ b/src/ledger/reservation-attempt.ts
@@ -3,7 +3,7 @@
 import type { Logger } from '../observability/index.js';
 import type { HistoryReader } from './history-reader.js';
 import { HistoryMissingError, MaybeReservedError, NotReservedError } from './ledger-errors.js';
-import type { HistorySource, MissingHistory, ReserveAnswer, ReserveRequest } from './messages.js';
+import type { HistorySource, MissingHistory, ReserveResponse, ReserveRequest } from './messages.js';
 import type { ReservationTrace } from './reservation-trace.js';
 
 /** Share of a reservation's time for reading a history elsewhere, so that the leader can still be asked for it. */
@@ -23,7 +23,7 @@
   limitMs: number;
   steps: ReservationTrace;
   /** Asks the ledger's leader. */
-  ask: (request: TurnRequest, limitMs: number, steps: ReservationTrace) => Promise<ReserveAnswer>;
+  ask: (request: TurnRequest, limitMs: number, steps: ReservationTrace) => Promise<ReserveResponse>;
   /** Reads histories at members that don't lead; without it the leader sends them. */
   histories: HistoryReader | undefined;
   logger: Logger;
@@ -40,7 +40,7 @@
    * The history is read at another member, and asked of the leader only where none gave it.
    * @throws NotReservedError, MaybeReservedError, GroupUnavailableError, HistoryMissingError
    */
-  async run(): Promise<ReserveAnswer> {
+  async run(): Promise<ReserveResponse> {
     const { request, histories, steps, ask } = this.options;
     const mayReadElsewhere = histories !== undefined;
     const answer = await ask({ ...request, mayReadElsewhere }, this.leftMs, steps);
@@ -79,7 +79,7 @@
    * A member that may hold the history and does not answer may be on its way back: that is worth waiting for, unless it
    * has been away for longer than the turn has left.
    */
-  private async waitForHistory(missing: MissingHistory): Promise<ReserveAnswer> {
+  private async waitForHistory(missing: MissingHistory): Promise<ReserveResponse> {
     const { steps } = this.options;
     let latest = missing;
     for (;;) {
@@ -97,7 +97,7 @@
   }
 
   /** For a turn that is reserved already: whatever comes of it, the reservation may stand. */
-  private async askOnceMore(): Promise<ReserveAnswer> {
+  private async askOnceMore(): Promise<ReserveResponse> {
     const { request, steps, ask } = this.options;
     try {
       const answer = await ask(request, this.leftMs, steps);
