--- a/src/ledger/ledger-service.ts
+++ b/src/ledger/ledger-service.ts
@@ -29,7 +29,7 @@
   type ReserveResponse,
   type ReserveRequest,
   SETTLE,
-  type SettleAnswer,
+  type SettleResponse,
   type SettleRequest,
   TAKE_COPY,
 } from './messages.js';
@@ -138,7 +138,7 @@
   private async settle(
     group: ReplicatedGroup,
     { settlements: received, copiedTo, canCopy }: SettleRequest,
-  ): Promise<SettleAnswer> {
+  ): Promise<SettleResponse> {
     const targets = copyTargetsOf(group);
     const isCopied = copiedTo === targets.version;
     const values = valuesIn(received);
--- a/src/ledger/messages.ts
+++ b/src/ledger/messages.ts
@@ -58,7 +58,7 @@
   canCopy?: boolean;
 }
 
-export interface SettleAnswer {
+export interface SettleResponse {
   /** False where nothing was done: the gateway is to send the values to the targets and to ask again. */
   isSettled: boolean;
   /** Present where the gateway sent values to others, or to none. */
@@ -112,4 +112,4 @@
 export const RESERVE = defineMethod<ReserveRequest, LeaderAnswer<ReserveResponse>>(
   'ledger.reserve',
 );
-export const SETTLE = defineMethod<SettleRequest, LeaderAnswer<SettleAnswer>>('ledger.settle');
+export const SETTLE = defineMethod<SettleRequest, LeaderAnswer<SettleResponse>>('ledger.settle');
