--- a/src/ledger/lagging-member-power-loss.test.ts
+++ b/src/ledger/lagging-member-power-loss.test.ts
@@ -7,7 +7,7 @@
 import { encodeValue } from '../wire/index.js';
 import type { SettleCommand, Settlement } from './ledger-commands.js';
 import { LedgerStateMachine } from './ledger-state-machine.js';
-import type { ReadTurnsAnswer, ReadTurnsRequest } from './messages.js';
+import type { ReadTurnsResponse, ReadTurnsRequest } from './messages.js';
 
 const LEADER: Member = { id: 'leader-id', name: 'leader', address: 'leader', role: 'voter' };
 const SHORT_RETENTION_MS = 1_000;
@@ -17,7 +17,7 @@
 const TRIES = 3;
 
 function createState(
-  readTurnsAt: (request: ReadTurnsRequest) => Promise<ReadTurnsAnswer>,
+  readTurnsAt: (request: ReadTurnsRequest) => Promise<ReadTurnsResponse>,
   values = new MemoryValues(),
 ): LedgerStateMachine {
   return new LedgerStateMachine({
@@ -108,7 +108,7 @@
    * fetched {"asked":105,"missing":105}` at the other, and the group of two committed nothing any more.
    */
   it('brings a member up to that snapshot that lags behind it', async () => {
-    const nobody = (): Promise<ReadTurnsAnswer> => Promise.reject(new Error('nobody else runs'));
+    const nobody = (): Promise<ReadTurnsResponse> => Promise.reject(new Error('nobody else runs'));
     const values = new MemoryValues();
     const before = createState(nobody, values);
     await before.external.hold(new Map([['over', Buffer.from('value')]]));
--- a/src/ledger/ledger-service.ts
+++ b/src/ledger/ledger-service.ts
@@ -24,7 +24,7 @@
   RESERVE,
   type ReadHistoryAnswer,
   type ReadHistoryRequest,
-  type ReadTurnsAnswer,
+  type ReadTurnsResponse,
   type ReadTurnsRequest,
   type ReserveResponse,
   type ReserveRequest,
@@ -109,7 +109,7 @@
   }
 
   /** Any member answers, also one that does not lead. */
-  private async readTurns(request: ReadTurnsRequest): Promise<ReadTurnsAnswer> {
+  private async readTurns(request: ReadTurnsRequest): Promise<ReadTurnsResponse> {
     const appliedIndex = this.options.findGroup()?.applier.appliedIndex ?? 0;
     const { atIndex } = request;
     const mayTellExpired = atIndex !== undefined && appliedIndex >= atIndex;
--- a/src/ledger/messages.ts
+++ b/src/ledger/messages.ts
@@ -72,7 +72,7 @@
   atIndex?: number;
 }
 
-export interface ReadTurnsAnswer {
+export interface ReadTurnsResponse {
   /** Identity of the member that answers, which its address does not tell once a disk was lost. */
   memberId?: string;
   /** Id of the turn, and its input followed by its output. */
@@ -108,7 +108,7 @@
 export const READ_HISTORY = defineMethod<ReadHistoryRequest, ReadHistoryAnswer>(
   'ledger.read-history',
 );
-export const READ_TURNS = defineMethod<ReadTurnsRequest, ReadTurnsAnswer>('ledger.read-turns');
+export const READ_TURNS = defineMethod<ReadTurnsRequest, ReadTurnsResponse>('ledger.read-turns');
 export const RESERVE = defineMethod<ReserveRequest, LeaderAnswer<ReserveResponse>>(
   'ledger.reserve',
 );
--- a/src/ledger/turn-history-store.ts
+++ b/src/ledger/turn-history-store.ts
@@ -9,14 +9,17 @@
 import type { Logger } from '../observability/index.js';
 import type { KeptTurnIndex } from './kept-turn-index.js';
 import { LossReports } from './loss-reports.js';
-import type { ReadTurnsAnswer, ReadTurnsRequest } from './messages.js';
+import type { ReadTurnsResponse, ReadTurnsRequest } from './messages.js';
 import type { TurnValues } from './turn-values.js';
 
 /** Values that no member gave; the turns are kept, so that the caller may try again. */
 export class TurnValuesMissingError extends LedgegaugeError {}
 
 /** Reads kept turns at another member. @throws when it does not answer */
-export type ReadTurnsAt = (address: string, request: ReadTurnsRequest) => Promise<ReadTurnsAnswer>;
+export type ReadTurnsAt = (
+  address: string,
+  request: ReadTurnsRequest,
+) => Promise<ReadTurnsResponse>;
 
 /** Turns asked for in one request: the answer's own limit is in bytes. */
 const MAX_REQUESTED_TURNS = 500;
@@ -102,8 +105,11 @@
    * Answers another member from what is held here.
    * @param isStateLateEnough whether this member's state knows which turns are over, and which it must hold
    */
-  async answer({ turns }: ReadTurnsRequest, isStateLateEnough: boolean): Promise<ReadTurnsAnswer> {
-    const answer: ReadTurnsAnswer = { values: [], expired: [], lost: [], covered: 0 };
+  async answer(
+    { turns }: ReadTurnsRequest,
+    isStateLateEnough: boolean,
+  ): Promise<ReadTurnsResponse> {
+    const answer: ReadTurnsResponse = { values: [], expired: [], lost: [], covered: 0 };
     let bytes = 0;
     while (answer.covered < turns.length && bytes < MAX_ANSWER_BYTES) {
       const group = turns.slice(answer.covered, answer.covered + TURNS_READ_TOGETHER);
@@ -120,7 +126,7 @@
   }
 
   /** A value that is held and can't be read now is neither lost nor over. */
-  private noteWithoutValue({ expired, lost }: ReadTurnsAnswer, id: string): void {
+  private noteWithoutValue({ expired, lost }: ReadTurnsResponse, id: string): void {
     const { turns, values } = this.options;
     if (!turns.has(id)) expired.push(id);
     else if (!values.has(id)) lost.push(id);
