--- a/src/ledger/ledger-service.ts
+++ b/src/ledger/ledger-service.ts
@@ -22,7 +22,7 @@
   READ_HISTORY,
   READ_TURNS,
   RESERVE,
-  type ReadHistoryAnswer,
+  type ReadHistoryResponse,
   type ReadHistoryRequest,
   type ReadTurnsResponse,
   type ReadTurnsRequest,
@@ -97,7 +97,7 @@
   }
 
   /** Any member answers from what it holds itself. */
-  private async readHistory({ turn, atIndex }: ReadHistoryRequest): Promise<ReadHistoryAnswer> {
+  private async readHistory({ turn, atIndex }: ReadHistoryRequest): Promise<ReadHistoryResponse> {
     const applier = this.options.findGroup()?.applier;
     if (!applier) return {};
     const isApplied = (): boolean => applier.appliedIndex >= atIndex;
--- a/src/ledger/messages.ts
+++ b/src/ledger/messages.ts
@@ -92,7 +92,7 @@
   atIndex: number;
 }
 
-export interface ReadHistoryAnswer {
+export interface ReadHistoryResponse {
   /** Absent when this member can't give it now. */
   history?: Uint8Array;
 }
@@ -105,7 +105,7 @@
 }
 
 export const TAKE_COPY = defineMethod<TakeCopyNotice, void>('ledger.take-copy');
-export const READ_HISTORY = defineMethod<ReadHistoryRequest, ReadHistoryAnswer>(
+export const READ_HISTORY = defineMethod<ReadHistoryRequest, ReadHistoryResponse>(
   'ledger.read-history',
 );
 export const READ_TURNS = defineMethod<ReadTurnsRequest, ReadTurnsResponse>('ledger.read-turns');
