--- a/src/journal/commands.ts
+++ b/src/journal/commands.ts
@@ -108,7 +108,7 @@
   | SweepCommand;
 
 /** A command as it is replicated: with the journal time that the leader gave it. */
-export interface StampedCommand {
+export interface TimestampedCommand {
   /** Milliseconds of journal time; never goes back, unrelated to wall-clock time. */
   atMs: number;
   command: JournalCommand;
--- a/src/journal/journal-leader.ts
+++ b/src/journal/journal-leader.ts
@@ -5,7 +5,7 @@
 import { monotonicMs, SignalEvent } from '../common/index.js';
 import { NotLeaderError, type ReplicatedGroup } from '../consensus/index.js';
 import { decodeValue, encodeValue } from '../wire/index.js';
-import type { CallAnswer, JournalCommand, JournalQuery, StampedCommand } from './commands.js';
+import type { CallAnswer, JournalCommand, JournalQuery, TimestampedCommand } from './commands.js';
 import { JournalStateMachine } from './journal-state-machine.js';
 import { needsSweep } from './lifecycle.js';
 import type { AwaitSettledRequest } from './messages.js';
@@ -79,7 +79,7 @@
   private stamp(command: JournalCommand): Uint8Array {
     const elapsed = monotonicMs() - this.clockBase.monotonicMs;
     const atMs = Math.round(this.clockBase.journalMs + elapsed);
-    return encodeValue({ atMs, command } satisfies StampedCommand);
+    return encodeValue({ atMs, command } satisfies TimestampedCommand);
   }
 
   private sweep(): void {
--- a/src/journal/journal-state-machine.ts
+++ b/src/journal/journal-state-machine.ts
@@ -2,7 +2,7 @@
 import type { StateMachine } from '../consensus/index.js';
 import { decodeValue } from '../wire/index.js';
 import { applyBegin, applyRestart } from './begin.js';
-import type { JournalCommand, StampedCommand } from './commands.js';
+import type { JournalCommand, TimestampedCommand } from './commands.js';
 import { applyEnd, applyOpen, applyReleased, applySweep } from './lifecycle.js';
 import { JournalState } from './journal-state.js';
 import { applyFinish, applyRefuse, applyWithdraw } from './settle.js';
@@ -14,7 +14,7 @@
   constructor(private readonly onChange: (command: JournalCommand) => void = () => undefined) {}
 
   apply(encoded: Uint8Array): unknown {
-    const { atMs, command } = decodeValue<StampedCommand>(encoded);
+    const { atMs, command } = decodeValue<TimestampedCommand>(encoded);
     this.state.clockMs = Math.max(this.state.clockMs, atMs);
     const result = this.applyCommand(command);
     this.onChange(command);
--- a/tests/support/journal-bench.ts
+++ b/tests/support/journal-bench.ts
@@ -7,7 +7,7 @@
   JournalCommand,
   OpenCommand,
   RestartCommand,
-  StampedCommand,
+  TimestampedCommand,
 } from '../../src/journal/commands.js';
 import { JournalStateMachine } from '../../src/journal/journal-state-machine.js';
 import { createProgramId } from '../../src/journal/program-id.js';
@@ -35,7 +35,9 @@
   }
 
   readonly apply = <Result>(command: JournalCommand, atMs = (this.clockMs += 1)): Result => {
-    return this.machine.apply(encodeValue({ atMs, command } satisfies StampedCommand)) as Result;
+    return this.machine.apply(
+      encodeValue({ atMs, command } satisfies TimestampedCommand),
+    ) as Result;
   };
 
   readonly open = (change: Partial<OpenCommand> = {}): string => {
