--- a/src/consensus/follower-duty.ts
+++ b/src/consensus/follower-duty.ts
@@ -29,7 +29,7 @@
   received: number;
 }
 
-export class FollowerDuty {
+export class FollowerRequestHandler {
   /** Whether any leader was heard since this process has been a member. */
   hasHeardLeader = false;
   private leaderHeardAt = Number.NEGATIVE_INFINITY;
--- a/src/consensus/replicated-group.ts
+++ b/src/consensus/replicated-group.ts
@@ -24,7 +24,7 @@
 import { runElection } from './election.js';
 import { ElectionTimer } from './election-timer.js';
 import { MembershipChangeError, NotLeaderError } from './errors.js';
-import { FollowerDuty } from './follower-duty.js';
+import { FollowerRequestHandler } from './follower-duty.js';
 import { LearnerRelays, relayOf } from './learner-relays.js';
 import { transferLeadership } from './leadership-transfer.js';
 import type { MemberLog } from './member-log.js';
@@ -76,7 +76,7 @@
   readonly traffic = createReplicationTraffic();
   readonly times = createCommitTimes();
   readonly sendsSnapshots = true;
-  private readonly duty: FollowerDuty;
+  private readonly duty: FollowerRequestHandler;
   private readonly replicators = new Map<string, Replicator>();
   private readonly proposals: PendingProposals;
   private readonly gate: ProposalGate;
@@ -109,7 +109,7 @@
     });
     this.commitIndex = log.latestSnapshot?.index ?? 0;
     this.applier = new Applier(this, stateMachine, environment);
-    this.duty = new FollowerDuty(this, environment);
+    this.duty = new FollowerRequestHandler(this, environment);
     this.quorumCheck = new QuorumCheck(environment.options);
     this.setFirstElectionDeadline();
   }
@@ -163,7 +163,7 @@
     );
   }
 
-  get followerDuty(): FollowerDuty {
+  get followerDuty(): FollowerRequestHandler {
     return this.duty;
   }
 
