--- a/src/consensus/replicated-group.ts
+++ b/src/consensus/replicated-group.ts
@@ -24,7 +24,7 @@
 import { runElection } from './election.js';
 import { ElectionTimer } from './election-timer.js';
 import { MembershipChangeError, NotLeaderError } from './errors.js';
-import { FollowerRequestHandler } from './follower-duty.js';
+import { FollowerRequestHandler } from './follower-request-handler.js';
 import { LearnerRelays, relayOf } from './learner-relays.js';
 import { transferLeadership } from './leadership-transfer.js';
 import type { MemberLog } from './member-log.js';
