--- a/src/consensus/group-host.ts
+++ b/src/consensus/group-host.ts
@@ -119,20 +119,20 @@
 
   /** Registers the handlers of the messages between members. */
   registerHandlers(router: MethodRouter): void {
-    router.handle(VOTE, (request) => this.target(request).followerDuty.vote(request));
+    router.handle(VOTE, (request) => this.target(request).requestHandler.vote(request));
     router.handle(APPEND, async (request) => {
       const group = this.target(request);
       const receivedAt = monotonicMs();
-      const response = await group.followerDuty.append(request);
+      const response = await group.requestHandler.append(request);
       group.times.append.note(monotonicMs() - receivedAt);
       return response;
     });
-    router.handle(SNAPSHOT, (request) => this.target(request).followerDuty.snapshot(request));
-    router.handle(TRANSFER, (request) => this.target(request).followerDuty.transfer(request));
+    router.handle(SNAPSHOT, (request) => this.target(request).requestHandler.snapshot(request));
+    router.handle(TRANSFER, (request) => this.target(request).requestHandler.transfer(request));
     router.handle(HEARTBEATS, ({ heartbeats }) => {
       const own = heartbeats.filter((heartbeat) => heartbeat.to === this.host.ownId);
       const answers = own.map((heartbeat) =>
-        this.groups.get(heartbeat.group)?.followerDuty.heartbeat(heartbeat),
+        this.groups.get(heartbeat.group)?.requestHandler.heartbeat(heartbeat),
       );
       return Promise.all(answers.filter((answer) => answer !== undefined));
     });
--- a/src/consensus/replicated-group.ts
+++ b/src/consensus/replicated-group.ts
@@ -163,7 +163,7 @@
     );
   }
 
-  get followerDuty(): FollowerRequestHandler {
+  get requestHandler(): FollowerRequestHandler {
     return this.duty;
   }
 
