--- a/src/consensus/group-messages.ts
+++ b/src/consensus/group-messages.ts
@@ -1,6 +1,6 @@
 /** How users of a replicated group, in any process, reach its leader. */
 import { defineMethod } from '../wire/index.js';
-import type { NoAnswer } from './leader-refusal.js';
+import type { Rejection } from './leader-refusal.js';
 
 export interface GroupRequest {
   group: string;
@@ -8,7 +8,7 @@
   body: Uint8Array;
 }
 
-export interface GroupResponse extends NoAnswer {
+export interface GroupResponse extends Rejection {
   /** The encoded result; absent when this member could not answer as the leader. */
   body?: Uint8Array;
 }
--- a/src/consensus/leader-calls.ts
+++ b/src/consensus/leader-calls.ts
@@ -1,12 +1,12 @@
 /** Calls of typed methods that only the leader of a group answers: both sides of them. */
 import type { Method } from '../wire/index.js';
 import type { GroupCallOptions, GroupClient } from './group-client.js';
-import { type NoAnswer, describeNoAnswer } from './leader-refusal.js';
+import { type Rejection, describeNoAnswer } from './leader-refusal.js';
 import { readNoAnswer } from './open-tries.js';
 import type { ReplicatedGroup } from './replicated-group.js';
 
 /** The leader's answer, or where the leader may be. */
-export interface LeaderAnswer<Answer> extends NoAnswer {
+export interface LeaderAnswer<Answer> extends Rejection {
   answer?: Answer;
 }
 
--- a/src/consensus/leader-refusal.ts
+++ b/src/consensus/leader-refusal.ts
@@ -11,7 +11,7 @@
 }
 
 /** In place of an answer. */
-export interface NoAnswer {
+export interface Rejection {
   /** Where the leader may be. */
   leaderAddress?: string;
   /** Why this member can't answer as the leader. */
@@ -24,7 +24,7 @@
  * What a client is told of an error that arose in a leader's work.
  * @throws the error itself when trying again can't help
  */
-export function describeNoAnswer(group: ReplicatedGroup, error: unknown): NoAnswer {
+export function describeNoAnswer(group: ReplicatedGroup, error: unknown): Rejection {
   if (error instanceof NotLeaderError) {
     return { leaderAddress: error.leaderAddress, refusal: error.message };
   }
--- a/src/consensus/open-tries.ts
+++ b/src/consensus/open-tries.ts
@@ -1,7 +1,7 @@
 /** The members of a group that one call has asked and that have not answered yet. */
 import { describeError, monotonicMs } from '../common/index.js';
 import { type CallOptions, LinkError } from '../wire/index.js';
-import type { LeaderRefusal, NoAnswer } from './leader-refusal.js';
+import type { LeaderRefusal, Rejection } from './leader-refusal.js';
 
 /** What one member said: the result, that it leads and refuses, or where else to ask. */
 export type TryResult<Response> =
@@ -10,7 +10,7 @@
   | { leaderAddress: string | undefined; refusal: string | undefined };
 
 /** Reads what a member said in place of an answer. */
-export function readNoAnswer({ refused, leaderAddress, refusal }: NoAnswer): TryResult<never> {
+export function readNoAnswer({ refused, leaderAddress, refusal }: Rejection): TryResult<never> {
   return refused ? { refused } : { leaderAddress, refusal };
 }
 
