--- a/src/consensus/group-service.ts
+++ b/src/consensus/group-service.ts
@@ -2,7 +2,7 @@
 import { type MethodRouter, encodeValue } from '../wire/index.js';
 import type { GroupHost } from './group-host.js';
 import { EXECUTE, type GroupResponse, QUERY } from './group-messages.js';
-import { describeNoAnswer } from './leader-refusal.js';
+import { createRejection } from './leader-refusal.js';
 import type { ReplicatedGroup } from './replicated-group.js';
 
 export interface GroupServiceHooks {
@@ -38,6 +38,6 @@
   try {
     return { body: encodeValue(await work(group)) };
   } catch (error) {
-    return describeNoAnswer(group, error);
+    return createRejection(group, error);
   }
 }
--- a/src/consensus/leader-calls.ts
+++ b/src/consensus/leader-calls.ts
@@ -1,7 +1,7 @@
 /** Calls of typed methods that only the leader of a group answers: both sides of them. */
 import type { Method } from '../wire/index.js';
 import type { GroupCallOptions, GroupClient } from './group-client.js';
-import { type Rejection, describeNoAnswer } from './leader-refusal.js';
+import { type Rejection, createRejection } from './leader-refusal.js';
 import { readNoAnswer } from './open-tries.js';
 import type { ReplicatedGroup } from './replicated-group.js';
 
@@ -43,6 +43,6 @@
   try {
     return { answer: await work(group) };
   } catch (error) {
-    return describeNoAnswer(group, error);
+    return createRejection(group, error);
   }
 }
--- a/src/consensus/leader-refusal.ts
+++ b/src/consensus/leader-refusal.ts
@@ -24,7 +24,7 @@
  * What a client is told of an error that arose in a leader's work.
  * @throws the error itself when trying again can't help
  */
-export function describeNoAnswer(group: ReplicatedGroup, error: unknown): Rejection {
+export function createRejection(group: ReplicatedGroup, error: unknown): Rejection {
   if (error instanceof NotLeaderError) {
     return { leaderAddress: error.leaderAddress, refusal: error.message };
   }
