--- a/src/consensus/group-client.ts
+++ b/src/consensus/group-client.ts
@@ -15,7 +15,7 @@
   OpenTries,
   type TryAnswer,
   type TryResult,
-  readNoAnswer,
+  rejectionResult,
 } from './open-tries.js';
 import type { PeerCaller } from './peer-directory.js';
 import { SearchProblem } from './search-problem.js';
@@ -138,7 +138,7 @@
     return this.tryMembers<Answer>(group, method.name, options, async (address, limits) => {
       const answer = await this.options.peers.call(address, method, request, limits);
       if (answer.body) return { response: decodeValue<Answer>(answer.body) };
-      return readNoAnswer(answer);
+      return rejectionResult(answer);
     });
   }
 
--- a/src/consensus/leader-calls.ts
+++ b/src/consensus/leader-calls.ts
@@ -2,7 +2,7 @@
 import type { Method } from '../wire/index.js';
 import type { GroupCallOptions, GroupClient } from './group-client.js';
 import { type Rejection, createRejection } from './leader-refusal.js';
-import { readNoAnswer } from './open-tries.js';
+import { rejectionResult } from './open-tries.js';
 import type { ReplicatedGroup } from './replicated-group.js';
 
 /** The leader's answer, or where the leader may be. */
@@ -27,7 +27,7 @@
     method,
     request,
     (response) =>
-      response.answer === undefined ? readNoAnswer(response) : { response: response.answer },
+      response.answer === undefined ? rejectionResult(response) : { response: response.answer },
     options,
   );
 }
--- a/src/consensus/open-tries.ts
+++ b/src/consensus/open-tries.ts
@@ -10,7 +10,7 @@
   | { leaderAddress: string | undefined; refusal: string | undefined };
 
 /** Reads what a member said in place of an answer. */
-export function readNoAnswer({ refused, leaderAddress, refusal }: Rejection): TryResult<never> {
+export function rejectionResult({ refused, leaderAddress, refusal }: Rejection): TryResult<never> {
   return refused ? { refused } : { leaderAddress, refusal };
 }
 
