--- a/src/consensus/group-client.ts
+++ b/src/consensus/group-client.ts
@@ -12,7 +12,7 @@
 import { LeaderHints } from './leader-hints.js';
 import {
   type Attempt,
-  OpenTries,
+  PendingAttempts,
   type TryAnswer,
   type TryResult,
   rejectionResult,
@@ -154,7 +154,7 @@
       initialMs: FIRST_PAUSE_MS,
       maximumMs: options.maximumPauseMs ?? DEFAULT_MAXIMUM_PAUSE_MS,
     });
-    const tries = new OpenTries(attempt, { deadline, silenceMs: tryTimeoutMs });
+    const tries = new PendingAttempts(attempt, { deadline, silenceMs: tryTimeoutMs });
     const hints = new LeaderHints(tries);
     const problem = new SearchProblem();
     let address = this.leaders.get(group) ?? this.anyAddress(tries);
@@ -194,7 +194,7 @@
   }
 
   /** The next member that may be asked, a connected one if there is any. */
-  private anyAddress(tries: OpenTries<unknown>): string | undefined {
+  private anyAddress(tries: PendingAttempts<unknown>): string | undefined {
     return this.nextOf(this.addresses.filter((address) => !tries.has(address)));
   }
 
--- a/src/consensus/leader-hints.ts
+++ b/src/consensus/leader-hints.ts
@@ -1,5 +1,5 @@
 /** Whom the answers of members, in one call, point at as the leader. */
-import type { OpenTries, TryAnswer } from './open-tries.js';
+import type { PendingAttempts, TryAnswer } from './open-tries.js';
 
 export class LeaderHints {
   /** Hints followed since the last pause: two members may point at each other. */
@@ -7,7 +7,7 @@
   /** The member that owes an answer and that another one has pointed at. */
   private awaited: string | undefined;
 
-  constructor(private readonly tries: OpenTries<unknown>) {}
+  constructor(private readonly tries: PendingAttempts<unknown>) {}
 
   /** The member to ask at once on account of an answer, if there is one. */
   follow(answer: TryAnswer<unknown>): string | undefined {
--- a/src/consensus/open-tries.ts
+++ b/src/consensus/open-tries.ts
@@ -34,7 +34,7 @@
   silenceMs: number;
 }
 
-export class OpenTries<Response> {
+export class PendingAttempts<Response> {
   private readonly open = new Set<string>();
   private readonly answers: TryAnswer<Response>[] = [];
   private onAnswer: () => void = () => undefined;
