--- a/src/consensus/open-tries.ts
+++ b/src/consensus/open-tries.ts
@@ -27,7 +27,7 @@
   isLost: boolean;
 };
 
-export interface OpenTriesLimits {
+export interface PendingAttemptsLimits {
   /** When the whole call ends (monotonic, milliseconds). */
   deadline: number;
   /** After this time without a byte from a member its connection is suspect, in milliseconds. */
@@ -41,7 +41,7 @@
 
   constructor(
     private readonly attempt: Attempt<Response>,
-    private readonly limits: OpenTriesLimits,
+    private readonly limits: PendingAttemptsLimits,
   ) {}
 
   has(address: string): boolean {
