--- a/src/consensus/group-client.ts
+++ b/src/consensus/group-client.ts
@@ -13,7 +13,7 @@
 import {
   type Attempt,
   PendingAttempts,
-  type TryAnswer,
+  type AttemptOutcome,
   type TryResult,
   rejectionResult,
 } from './open-tries.js';
@@ -215,7 +215,7 @@
   }
 }
 
-function refusingMember(answer: TryAnswer<unknown> | undefined): string | undefined {
+function refusingMember(answer: AttemptOutcome<unknown> | undefined): string | undefined {
   return answer && 'refused' in answer ? answer.address : undefined;
 }
 
--- a/src/consensus/leader-hints.ts
+++ b/src/consensus/leader-hints.ts
@@ -1,5 +1,5 @@
 /** Whom the answers of members, in one call, point at as the leader. */
-import type { PendingAttempts, TryAnswer } from './open-tries.js';
+import type { PendingAttempts, AttemptOutcome } from './open-tries.js';
 
 export class LeaderHints {
   /** Hints followed since the last pause: two members may point at each other. */
@@ -10,7 +10,7 @@
   constructor(private readonly tries: PendingAttempts<unknown>) {}
 
   /** The member to ask at once on account of an answer, if there is one. */
-  follow(answer: TryAnswer<unknown>): string | undefined {
+  follow(answer: AttemptOutcome<unknown>): string | undefined {
     const hint = this.hintOf(answer);
     if (hint === undefined) return undefined;
     // A hint at a member that owes an answer is old: who leads next is known soon, so it is asked for.
@@ -24,7 +24,7 @@
   }
 
   /** Whether an answer that comes during a pause is worth reading at once. */
-  endsPause(answer: TryAnswer<unknown>): boolean {
+  endsPause(answer: AttemptOutcome<unknown>): boolean {
     return 'response' in answer || 'refused' in answer || this.isAwaitedLost(answer);
   }
 
@@ -33,7 +33,7 @@
   }
 
   /** An awaited leader whose connection was lost is asked again itself: the link is mostly up already. */
-  private hintOf(answer: TryAnswer<unknown>): string | undefined {
+  private hintOf(answer: AttemptOutcome<unknown>): string | undefined {
     if ('leaderAddress' in answer && answer.leaderAddress !== undefined) {
       return answer.leaderAddress;
     }
@@ -42,7 +42,7 @@
     return answer.address;
   }
 
-  private isAwaitedLost({ isLost, address }: TryAnswer<unknown>): boolean {
+  private isAwaitedLost({ isLost, address }: AttemptOutcome<unknown>): boolean {
     return isLost && address === this.awaited;
   }
 }
--- a/src/consensus/open-tries.ts
+++ b/src/consensus/open-tries.ts
@@ -21,7 +21,7 @@
 ) => Promise<TryResult<Response>>;
 
 /** What a member said, and which one. */
-export type TryAnswer<Response> = TryResult<Response> & {
+export type AttemptOutcome<Response> = TryResult<Response> & {
   address: string;
   /** The question or its answer was lost with the connection. */
   isLost: boolean;
@@ -36,7 +36,7 @@
 
 export class PendingAttempts<Response> {
   private readonly open = new Set<string>();
-  private readonly answers: TryAnswer<Response>[] = [];
+  private readonly answers: AttemptOutcome<Response>[] = [];
   private onAnswer: () => void = () => undefined;
 
   constructor(
@@ -59,7 +59,7 @@
   }
 
   /** The next answer or failure of any member, or nothing after `timeoutMs`. */
-  async next(timeoutMs: number): Promise<TryAnswer<Response> | undefined> {
+  async next(timeoutMs: number): Promise<AttemptOutcome<Response> | undefined> {
     if (this.answers.length === 0) await this.waitForAnswer(timeoutMs);
     const answer = this.answers.shift();
     if (answer) this.open.delete(answer.address);
@@ -70,7 +70,10 @@
    * Waits, but no longer than until an answer that ends the pause is there to be read. A failure mustn't end the
    * pause after another one: members that all fail at once would be asked without any.
    */
-  async pause(forMs: number, endsPause: (answer: TryAnswer<Response>) => boolean): Promise<void> {
+  async pause(
+    forMs: number,
+    endsPause: (answer: AttemptOutcome<Response>) => boolean,
+  ): Promise<void> {
     const until = monotonicMs() + forMs;
     while (!this.answers.some(endsPause)) {
       const leftMs = until - monotonicMs();
@@ -90,7 +93,7 @@
     this.onAnswer = () => undefined;
   }
 
-  private async ask(address: string): Promise<TryAnswer<Response>> {
+  private async ask(address: string): Promise<AttemptOutcome<Response>> {
     const { deadline, silenceMs } = this.limits;
     const timeoutMs = Math.max(1, deadline - monotonicMs());
     try {
--- a/src/consensus/search-problem.ts
+++ b/src/consensus/search-problem.ts
@@ -1,9 +1,9 @@
 /** Why the members that one call has asked gave no answer, for the error that its caller gets. */
 import { GroupUnavailableError, LeaderRefusedError } from './errors.js';
 import type { LeaderRefusal } from './leader-refusal.js';
-import type { TryAnswer } from './open-tries.js';
+import type { AttemptOutcome } from './open-tries.js';
 
-type NoResult = Exclude<TryAnswer<unknown>, { response: unknown }>;
+type NoResult = Exclude<AttemptOutcome<unknown>, { response: unknown }>;
 
 interface RefusingLeader {
   address: string;
