--- a/src/consensus/group-client.ts
+++ b/src/consensus/group-client.ts
@@ -18,7 +18,7 @@
   rejectionResult,
 } from './open-tries.js';
 import type { PeerCaller } from './peer-directory.js';
-import { SearchProblem } from './search-problem.js';
+import { LeaderSearchFailure } from './search-problem.js';
 
 export interface GroupClientOptions {
   peers: PeerCaller;
@@ -156,7 +156,7 @@
     });
     const tries = new PendingAttempts(attempt, { deadline, silenceMs: tryTimeoutMs });
     const hints = new LeaderHints(tries);
-    const problem = new SearchProblem();
+    const problem = new LeaderSearchFailure();
     let address = this.leaders.get(group) ?? this.anyAddress(tries);
     let waitMs = tryTimeoutMs;
     while (monotonicMs() < deadline) {
--- a/src/consensus/search-problem.ts
+++ b/src/consensus/search-problem.ts
@@ -10,7 +10,7 @@
   refusal: LeaderRefusal;
 }
 
-export class SearchProblem {
+export class LeaderSearchFailure {
   private latest = 'no member asked';
   /** Stands until that member says something else: what members say that don't lead is no reason. */
   private refusing: RefusingLeader | undefined;
