--- a/src/consensus/group-client.ts
+++ b/src/consensus/group-client.ts
@@ -18,7 +18,7 @@
   rejectionResult,
 } from './open-tries.js';
 import type { PeerCaller } from './peer-directory.js';
-import { LeaderSearchFailure } from './search-problem.js';
+import { LeaderSearchFailure } from './leader-search-failure.js';
 
 export interface GroupClientOptions {
   peers: PeerCaller;
