--- a/src/consensus/proposal-gate.test.ts
+++ b/src/consensus/proposal-gate.test.ts
@@ -3,7 +3,7 @@
 import { Deferred, sleep } from '../common/index.js';
 import { createCommitTimes } from './commit-times.js';
 import { GroupOverloadedError } from './errors.js';
-import { ProposalGate } from './proposal-gate.js';
+import { ProposalLimiter } from './proposal-gate.js';
 
 const COMMIT_TARGET_MS = 20;
 const MAX_WAIT_MS = 200;
@@ -15,7 +15,7 @@
   readonly appended: number[] = [];
   readonly reported: number[] = [];
   private readonly open: Deferred<unknown>[] = [];
-  readonly gate = new ProposalGate({
+  readonly gate = new ProposalLimiter({
     group: 'test',
     commitTargetMs: COMMIT_TARGET_MS,
     maxWaitMs: MAX_WAIT_MS,
--- a/src/consensus/proposal-gate.ts
+++ b/src/consensus/proposal-gate.ts
@@ -40,7 +40,7 @@
   since: number;
 }
 
-export class ProposalGate {
+export class ProposalLimiter {
   /** Oldest first. */
   private waiting: WaitingProposal[] = [];
   private waitingBytes = 0;
--- a/src/consensus/replicated-group.ts
+++ b/src/consensus/replicated-group.ts
@@ -31,7 +31,7 @@
 import type { Heartbeat, HeartbeatResponse } from './messages.js';
 import type { CheckedConsensusOptions } from './options.js';
 import { PendingProposals } from './pending-proposals.js';
-import { type Proposal, ProposalGate } from './proposal-gate.js';
+import { type Proposal, ProposalLimiter } from './proposal-gate.js';
 import { QuorumCheck } from './quorum-check.js';
 import { createReplicationTraffic } from './replication-traffic.js';
 import { Replicator } from './replicator.js';
@@ -79,7 +79,7 @@
   private readonly duty: FollowerRequestHandler;
   private readonly replicators = new Map<string, Replicator>();
   private readonly proposals: PendingProposals;
-  private readonly gate: ProposalGate;
+  private readonly gate: ProposalLimiter;
   private readonly relays = new LearnerRelays(this);
   private readonly quorumCheck: QuorumCheck;
   private readonly quorumContact = new SignalEvent();
@@ -99,7 +99,7 @@
     this.name = log.group;
     this.proposals = new PendingProposals(log.group);
     const { heartbeatIntervalMs, maxProposalWaitMs } = environment.options;
-    this.gate = new ProposalGate({
+    this.gate = new ProposalLimiter({
       group: log.group,
       commitTargetMs: COMMIT_TARGET_HEARTBEATS * heartbeatIntervalMs,
       maxWaitMs: maxProposalWaitMs,
