--- a/src/consensus/proposal-gate.ts
+++ b/src/consensus/proposal-gate.ts
@@ -18,7 +18,7 @@
   attachments?: readonly Uint8Array[];
 }
 
-export interface ProposalGateOptions {
+export interface ProposalLimiterOptions {
   group: string;
   /** How long a command may take from the log to its commit, in milliseconds. */
   commitTargetMs: number;
@@ -51,7 +51,7 @@
   /** Commands refused so far. */
   refused = 0;
 
-  constructor(private readonly options: ProposalGateOptions) {
+  constructor(private readonly options: ProposalLimiterOptions) {
     this.window = new CommitWindow(options.commitTargetMs);
   }
 
