--- a/src/consensus/proposal-gate.test.ts
+++ b/src/consensus/proposal-gate.test.ts
@@ -3,7 +3,7 @@
 import { Deferred, sleep } from '../common/index.js';
 import { createCommitTimes } from './commit-times.js';
 import { GroupOverloadedError } from './errors.js';
-import { ProposalLimiter } from './proposal-gate.js';
+import { ProposalLimiter } from './proposal-limiter.js';
 
 const COMMIT_TARGET_MS = 20;
 const MAX_WAIT_MS = 200;
--- a/src/consensus/replicated-group.ts
+++ b/src/consensus/replicated-group.ts
@@ -31,7 +31,7 @@
 import type { Heartbeat, HeartbeatResponse } from './messages.js';
 import type { CheckedConsensusOptions } from './options.js';
 import { PendingProposals } from './pending-proposals.js';
-import { type Proposal, ProposalLimiter } from './proposal-gate.js';
+import { type Proposal, ProposalLimiter } from './proposal-limiter.js';
 import { QuorumCheck } from './quorum-check.js';
 import { createReplicationTraffic } from './replication-traffic.js';
 import { Replicator } from './replicator.js';
