--- a/src/consensus/learner-relays.ts
+++ b/src/consensus/learner-relays.ts
@@ -10,7 +10,7 @@
 import { type GroupConfiguration, type Member, isVoter, votersOf } from './configuration.js';
 import type { MemberLog } from './member-log.js';
 import type { ReplicationTraffic } from './replication-traffic.js';
-import { type ReplicatedLog, type ReplicationLeader, Replicator } from './replicator.js';
+import { type ReplicatedLog, type ReplicationSource, Replicator } from './replicator.js';
 
 /** What the tasks need of their member. */
 export interface RelayingMember {
@@ -103,7 +103,7 @@
 }
 
 /** A member's committed entries, in the name of the leader that it follows. */
-class RelaySource implements ReplicationLeader {
+class RelaySource implements ReplicationSource {
   readonly isOverloaded = false;
   /** Two members that send snapshots at the same time would each break off the other's. */
   readonly sendsSnapshots = false;
--- a/src/consensus/replicator.ts
+++ b/src/consensus/replicator.ts
@@ -50,7 +50,7 @@
 >;
 
 /** What the task needs of its leader, or of a voter that sends entries on in the leader's name. */
-export interface ReplicationLeader {
+export interface ReplicationSource {
   readonly group: string;
   readonly ownId: string;
   readonly term: number;
@@ -94,7 +94,7 @@
   private gathering: AbortController | undefined;
 
   constructor(
-    private readonly leader: ReplicationLeader,
+    private readonly leader: ReplicationSource,
     readonly member: Member,
   ) {
     this.nextIndex = leader.log.lastIndex + 1;
