--- a/src/consensus/proposal-limiter.test.ts
+++ b/src/consensus/proposal-limiter.test.ts
@@ -58,11 +58,11 @@
     const log = new Log();
     const results = [1, 2, 3].map((number) => log.propose(number));
     expect(log.appended).toEqual([1]);
-    expect(log.gate.isHolding).toBe(true);
+    expect(log.gate.hasWaiting).toBe(true);
     await log.commit();
     await log.commit();
     expect(log.appended).toEqual([1, 2, 3]);
-    expect(log.gate.isHolding).toBe(false);
+    expect(log.gate.hasWaiting).toBe(false);
     await log.commit();
     expect(await Promise.all(results)).toEqual(['committed', 'committed', 'committed']);
   });
@@ -96,7 +96,7 @@
       await log.commit();
     }
     void log.propose(6, 200 * 1024);
-    expect(log.gate.isHolding).toBe(true);
+    expect(log.gate.hasWaiting).toBe(true);
   });
 
   it('refuses at once what waits when leadership ends, and begins anew', async () => {
--- a/src/consensus/proposal-limiter.ts
+++ b/src/consensus/proposal-limiter.ts
@@ -56,7 +56,7 @@
   }
 
   /** Whether commands wait. */
-  get isHolding(): boolean {
+  get hasWaiting(): boolean {
     return this.waiting.length > 0;
   }
 
--- a/src/consensus/replicated-group.ts
+++ b/src/consensus/replicated-group.ts
@@ -245,7 +245,7 @@
 
   /** Whether there are more commands than the group commits soon. */
   get isOverloaded(): boolean {
-    return this.gate.isHolding;
+    return this.gate.hasWaiting;
   }
 
   /** Commands refused so far as too many, and bytes of commands that may wait for their commit at a time. */
