--- a/src/consensus/proposal-limiter.test.ts
+++ b/src/consensus/proposal-limiter.test.ts
@@ -27,7 +27,7 @@
   /** Settles with the command's number, or the name of the error. */
   async propose(number: number, bytes = LARGE_BYTES): Promise<unknown> {
     const command = Buffer.alloc(bytes, number);
-    return this.gate.pass({ command }).catch((error: Error) => error.constructor.name);
+    return this.gate.submit({ command }).catch((error: Error) => error.constructor.name);
   }
 
   /** Commits the oldest command that is not committed. */
--- a/src/consensus/proposal-limiter.ts
+++ b/src/consensus/proposal-limiter.ts
@@ -69,7 +69,7 @@
    * Appends a command now, or when there is room for it.
    * @throws GroupOverloadedError when there was none in time; the command was not taken
    */
-  pass(proposal: Proposal): Promise<unknown> {
+  submit(proposal: Proposal): Promise<unknown> {
     if (this.waiting.length === 0 && this.window.hasRoom(proposal.command.length)) {
       this.options.times.gate.note(0);
       return this.append(proposal);
--- a/src/consensus/replicated-group.ts
+++ b/src/consensus/replicated-group.ts
@@ -190,7 +190,7 @@
     if (!this.isLeader || this.isTransferring) throw this.notLeader();
     const isFull = this.log.heldBytes >= this.environment.options.maxHeldBytes;
     if (isFull) throw this.heldTooMuch();
-    return this.gate.pass({ command, attachments });
+    return this.gate.submit({ command, attachments });
   }
 
   private appendCommand({ command: data, attachments }: Proposal): Promise<unknown> {
