--- a/src/consensus/group-host.ts
+++ b/src/consensus/group-host.ts
@@ -141,7 +141,7 @@
       if (!group?.isLeader) {
         return { leads: false, leaderAddress: group?.leaderAddress, accepted: false };
       }
-      return { leads: true, accepted: await this.changer.takeIn(group, request.member) };
+      return { leads: true, accepted: await this.changer.advanceJoin(group, request.member) };
     });
   }
 
--- a/src/consensus/membership-changer.ts
+++ b/src/consensus/membership-changer.ts
@@ -15,7 +15,7 @@
    * Takes the next step for `member`.
    * @returns whether the member is a voter now
    */
-  async takeIn(group: ReplicatedGroup, member: Member): Promise<boolean> {
+  async advanceJoin(group: ReplicatedGroup, member: Member): Promise<boolean> {
     const known = findMember(group.configuration, member.id);
     if (known?.role === 'voter') return true;
     if (!known) {
