--- a/src/wire/connection-race.ts
+++ b/src/wire/connection-race.ts
@@ -20,14 +20,14 @@
 const LONGEST_PAUSE_MS = 1_600;
 
 /** One try to connect and to prove both sides. */
-export interface ConnectionTry {
+export interface ConnectionAttempt {
   /** The connection is not wanted any more. */
   signal: AbortSignal;
   /** The peer has spoken, but has not proved itself yet. */
   onHeard: () => void;
 }
 
-export type OpenConnection = (attempt: ConnectionTry) => Promise<RpcConnection>;
+export type OpenConnection = (attempt: ConnectionAttempt) => Promise<RpcConnection>;
 
 export interface ConnectionRaceOptions {
   open: OpenConnection;
--- a/src/wire/peer-link.ts
+++ b/src/wire/peer-link.ts
@@ -18,7 +18,7 @@
   proofsMatch,
   serverProof,
 } from './authentication.js';
-import { ConnectionRace, type ConnectionTry } from './connection-race.js';
+import { ConnectionRace, type ConnectionAttempt } from './connection-race.js';
 import { FramedSocket } from './framed-socket.js';
 import type { Method } from './method.js';
 import { MethodRouter } from './method.js';
@@ -163,7 +163,7 @@
     this.race = undefined;
   }
 
-  private async open(attempt: ConnectionTry): Promise<RpcConnection> {
+  private async open(attempt: ConnectionAttempt): Promise<RpcConnection> {
     const socket = await dial(this.options.address);
     const framed = new FramedSocket(socket, this.options.address);
     const giveUp = (): void => framed.destroy();
@@ -190,7 +190,10 @@
     return connection;
   }
 
-  private async exchangeProofs(framed: FramedSocket, { onHeard }: ConnectionTry): Promise<void> {
+  private async exchangeProofs(
+    framed: FramedSocket,
+    { onHeard }: ConnectionAttempt,
+  ): Promise<void> {
     const { ownName, secret } = this.options;
     const step = 'wire.authenticate';
     const challenge = await framed.readOne<ServerChallenge>(step, HANDSHAKE_STEP_TIMEOUT_MS);
