--- a/src/wire/connection-race.ts
+++ b/src/wire/connection-race.ts
@@ -7,7 +7,7 @@
 import type { RpcConnection } from './rpc-connection.js';
 
 /** From one try to the next one while all meet silence, in milliseconds; part of several budgets. */
-export const RETRY_PACE_MS = 400;
+export const CONNECTION_ATTEMPT_DELAY_MS = 400;
 /**
  * Tries at a peer whose answers came late keep this share of its limit of silence apart. At a pace of
  * 400 ms one that is late by 2 s was given 18 handshakes in 10 s.
@@ -121,7 +121,10 @@
   }
 
   private get paceMs(): number {
-    return Math.max(RETRY_PACE_MS, this.options.silenceLimitMs() * PACE_SHARE_OF_SILENCE_LIMIT);
+    return Math.max(
+      CONNECTION_ATTEMPT_DELAY_MS,
+      this.options.silenceLimitMs() * PACE_SHARE_OF_SILENCE_LIMIT,
+    );
   }
 
   private pauseMs(): number {
--- a/tests/time-budgets.test.ts
+++ b/tests/time-budgets.test.ts
@@ -27,7 +27,7 @@
 import { IN_TOUCH_MS } from '../src/directory/gateway-confirmations.js';
 import { GROUP_TIMING } from '../src/nodes/node-settings.js';
 import { keyLeaseMs } from '../src/tenants/index.js';
-import { RETRY_PACE_MS } from '../src/wire/connection-race.js';
+import { CONNECTION_ATTEMPT_DELAY_MS } from '../src/wire/connection-race.js';
 import {
   CONNECT_TIMEOUT_MS,
   FIRST_RECONNECT_DELAY_MS,
@@ -83,7 +83,7 @@
   {
     row: 'obeyed: new connections silent as well',
     boundMs: OBEYED_MS,
-    parts: [NEW_CONNECTIONS_SILENT_MS, RETRY_PACE_MS, HANDSHAKE_MS, ANSWER_MS],
+    parts: [NEW_CONNECTIONS_SILENT_MS, CONNECTION_ATTEMPT_DELAY_MS, HANDSHAKE_MS, ANSWER_MS],
   },
   {
     row: 'obeyed: leader was late before',
