--- a/src/wire/connection-race.ts
+++ b/src/wire/connection-race.ts
@@ -12,7 +12,7 @@
  * Tries at a peer whose answers came late keep this share of its limit of silence apart. At a pace of
  * 400 ms one that is late by 2 s was given 18 handshakes in 10 s.
  */
-export const PACE_SHARE_OF_SILENCE_LIMIT = 0.5;
+export const ATTEMPT_DELAY_PER_SILENCE_LIMIT = 0.5;
 /** A pause is this share of its bound at least: all peers of a process that comes back have tried in vain. */
 const SHORTEST_PAUSE_SHARE = 0.75;
 /** Tries come no faster than in proportion to the silence: a long one leaves few connections to clear up. */
@@ -123,7 +123,7 @@
   private get paceMs(): number {
     return Math.max(
       CONNECTION_ATTEMPT_DELAY_MS,
-      this.options.silenceLimitMs() * PACE_SHARE_OF_SILENCE_LIMIT,
+      this.options.silenceLimitMs() * ATTEMPT_DELAY_PER_SILENCE_LIMIT,
     );
   }
 
