--- a/src/wire/half-open.test.ts
+++ b/src/wire/half-open.test.ts
@@ -10,7 +10,7 @@
 import { sleep } from '../common/index.js';
 import { MethodRouter, defineMethod } from './method.js';
 import { PeerLink } from './peer-link.js';
-import { LONGEST_SILENCE_MS } from './rpc-connection.js';
+import { MAX_SILENCE_LIMIT_MS } from './rpc-connection.js';
 import { RpcServer } from './rpc-server.js';
 
 const SECRET = 'a-secret-of-the-test';
@@ -35,7 +35,7 @@
   relay.silence(0);
   await expect(link.call(ECHO, { text: '' }, LIMITS)).rejects.toThrow();
   await waitUntil('replaced', () => link.isConnected);
-  await sleep(LONGEST_SILENCE_MS);
+  await sleep(MAX_SILENCE_LIMIT_MS);
   await link.call(ECHO, { text: '' }, LIMITS);
   expect(left).toEqual([]);
 
--- a/src/wire/rpc-connection.ts
+++ b/src/wire/rpc-connection.ts
@@ -28,7 +28,7 @@
  * later, which the time of a drain leaves room for; a peer that is later still is given a handshake to
  * do beside each question.
  */
-export const LONGEST_SILENCE_MS = 1_500;
+export const MAX_SILENCE_LIMIT_MS = 1_500;
 
 /** Bytes that may wait for a peer before notices to it are dropped: some large ones. */
 const MOST_WAITING_NOTICE_BYTES = 256 * 1024;
@@ -56,7 +56,7 @@
 export function createSilenceLimit(): AdaptiveTimeout {
   return new AdaptiveTimeout({
     baseMs: SUSPECT_AFTER_SILENCE_MS,
-    maximumMs: LONGEST_SILENCE_MS,
+    maximumMs: MAX_SILENCE_LIMIT_MS,
   });
 }
 
--- a/src/wire/rpc-server.ts
+++ b/src/wire/rpc-server.ts
@@ -12,7 +12,7 @@
 } from './authentication.js';
 import { FramedSocket } from './framed-socket.js';
 import type { MethodRouter } from './method.js';
-import { LONGEST_SILENCE_MS, RpcConnection } from './rpc-connection.js';
+import { MAX_SILENCE_LIMIT_MS, RpcConnection } from './rpc-connection.js';
 
 const HANDSHAKE_TIMEOUT_MS = 1_000;
 
@@ -60,7 +60,8 @@
   /** A connection whose end was lost on the way stays here: a silent one is no sign of its peer. */
   private isConnected(peerName: string): boolean {
     return [...this.connections].some(
-      (connection) => connection.peerName === peerName && connection.silentMs <= LONGEST_SILENCE_MS,
+      (connection) =>
+        connection.peerName === peerName && connection.silentMs <= MAX_SILENCE_LIMIT_MS,
     );
   }
 
--- a/tests/time-budgets.test.ts
+++ b/tests/time-budgets.test.ts
@@ -33,7 +33,7 @@
   FIRST_RECONNECT_DELAY_MS,
   MAXIMUM_RECONNECT_DELAY_MS,
 } from '../src/wire/peer-link.js';
-import { LONGEST_SILENCE_MS, SUSPECT_AFTER_SILENCE_MS } from '../src/wire/rpc-connection.js';
+import { MAX_SILENCE_LIMIT_MS, SUSPECT_AFTER_SILENCE_MS } from '../src/wire/rpc-connection.js';
 
 const PAGE = 'docs/design/time-budgets.md';
 
@@ -88,7 +88,7 @@
   {
     row: 'obeyed: leader was late before',
     boundMs: OBEYED_MS,
-    parts: [LONGEST_SILENCE_MS, HANDSHAKE_MS, ANSWER_MS],
+    parts: [MAX_SILENCE_LIMIT_MS, HANDSHAKE_MS, ANSWER_MS],
   },
   {
     row: 'obeyed: another member leads',
