--- a/src/wire/peer-link.ts
+++ b/src/wire/peer-link.ts
@@ -185,7 +185,7 @@
     const connection: RpcConnection = new RpcConnection(framed, router, this.options.address, {
       silenceLimit: this.silenceLimit,
       onSuspect: () => void this.replace(connection),
-      onTrusted: () => this.keep(connection),
+      onResponsive: () => this.keep(connection),
     });
     return connection;
   }
--- a/src/wire/rpc-connection.ts
+++ b/src/wire/rpc-connection.ts
@@ -47,7 +47,7 @@
   /** Called when requests have met silence for long; the peer may be gone, or late. @default closes */
   onSuspect?: () => void;
   /** Called when a suspect connection speaks again. @default nothing */
-  onTrusted?: () => void;
+  onResponsive?: () => void;
   /** How long a silence has to be, shared by the connections to one peer. @default its own */
   silenceLimit?: AdaptiveTimeout;
 }
@@ -212,7 +212,7 @@
     if (this.suspectSince === undefined) return;
     this.silenceLimit.noteLate(monotonicMs() - this.suspectSince);
     this.suspectSince = undefined;
-    this.options.onTrusted?.();
+    this.options.onResponsive?.();
   }
 
   private async answer(id: number, method: string, request: unknown): Promise<void> {
