--- a/src/log-store/data-folder.ts
+++ b/src/log-store/data-folder.ts
@@ -148,7 +148,7 @@
    * @param isRefusable whether the bytes are new work, which may not fill the last tenth
    * @throws StorageFullError when they would not fit
    */
-  take(bytes: number, isRefusable: boolean, peer: string): void {
+  reserve(bytes: number, isRefusable: boolean, peer: string): void {
     if (this.limitBytes !== undefined) {
       const limit = isRefusable ? this.limitBytes * REFUSABLE_SHARE : this.limitBytes;
       if (this.used + bytes > limit) {
--- a/src/log-store/write-ahead-log.ts
+++ b/src/log-store/write-ahead-log.ts
@@ -148,7 +148,7 @@
     const bodies = records.map(encodeLogRecord);
     const isRefusable = records.some((record) => record.kind === 'entries');
     if (isRefusable && this.isDiskFull) throw this.fullError();
-    this.quota.take(sizeOnDisk(bodies), isRefusable, this.options.folder);
+    this.quota.reserve(sizeOnDisk(bodies), isRefusable, this.options.folder);
     for (const record of records) this.applyToGroup(record);
     const done = new Deferred<void>();
     this.queue.push({ records, bodies, done });
