--- a/src/value-store/segment-files.ts
+++ b/src/value-store/segment-files.ts
@@ -5,7 +5,7 @@
  */
 import { StorageFailedError, readBytes, storageError, writeWhole } from '../log-store/index.js';
 import type { StoreFile, StoreFolder } from './store-folder.js';
-import { type ScannedRecord, scanValueRecords } from './value-record.js';
+import { type SegmentIndexEntry, scanValueRecords } from './value-record.js';
 import {
   ValueSegment,
   decodeIndex,
@@ -23,7 +23,7 @@
 /** What a start finds in one segment. */
 export interface RecoveredSegment {
   segment: ValueSegment;
-  records: ScannedRecord[];
+  records: SegmentIndexEntry[];
   /** Only a segment that was sealed has an index. */
   hasIndex: boolean;
 }
@@ -36,7 +36,7 @@
    */
   private highestNumber = 0;
   /** Records of the segment that is written to, for its index. */
-  private currentRecords: ScannedRecord[] = [];
+  private currentRecords: SegmentIndexEntry[] = [];
 
   /** @param segmentBytes a segment is sealed once it has this many bytes */
   constructor(
@@ -167,7 +167,7 @@
     }
   }
 
-  private async readIndex(segment: ValueSegment): Promise<ScannedRecord[] | undefined> {
+  private async readIndex(segment: ValueSegment): Promise<SegmentIndexEntry[] | undefined> {
     const file = await this.folder.open(segment.indexName);
     try {
       return decodeIndex(await readWholeFile(file, await file.size()));
--- a/src/value-store/value-record.ts
+++ b/src/value-store/value-record.ts
@@ -57,15 +57,15 @@
 }
 
 /** A record's place in its segment, in bytes. */
-export interface ScannedRecord {
+export interface SegmentIndexEntry {
   key: string;
   offset: number;
   length: number;
 }
 
 /** All undamaged records of a segment; what is damaged or torn between them is skipped. */
-export function scanValueRecords(bytes: Buffer): ScannedRecord[] {
-  const records: ScannedRecord[] = [];
+export function scanValueRecords(bytes: Buffer): SegmentIndexEntry[] {
+  const records: SegmentIndexEntry[] = [];
   let offset = 0;
   while (offset >= 0 && offset < bytes.length) {
     const record = decodeValueRecord(bytes, offset);
--- a/src/value-store/value-segment.ts
+++ b/src/value-store/value-segment.ts
@@ -1,7 +1,7 @@
 /** One segment file of a value store: its name, what it holds, and the index beside it. */
 import { crc32 } from 'node:zlib';
 import { decodeValue, encodeValue } from '../wire/index.js';
-import type { ScannedRecord } from './value-record.js';
+import type { SegmentIndexEntry } from './value-record.js';
 import type { StoreFile } from './store-folder.js';
 
 const PREFIX = 'values-';
@@ -69,7 +69,7 @@
 type StoredIndex = [key: string, offset: number, length: number][];
 
 /** The records of a sealed segment, so that a start need not read the segment. */
-export function encodeIndex(records: readonly ScannedRecord[]): Buffer {
+export function encodeIndex(records: readonly SegmentIndexEntry[]): Buffer {
   const stored: StoredIndex = records.map(({ key, offset, length }) => [key, offset, length]);
   const body = encodeValue(stored);
   const checksum = Buffer.alloc(CHECKSUM_BYTES);
@@ -78,7 +78,7 @@
 }
 
 /** @returns undefined when the index is damaged, so that the segment must be read */
-export function decodeIndex(bytes: Buffer): ScannedRecord[] | undefined {
+export function decodeIndex(bytes: Buffer): SegmentIndexEntry[] | undefined {
   if (bytes.length < CHECKSUM_BYTES) return undefined;
   const body = bytes.subarray(CHECKSUM_BYTES);
   if (crc32(body) !== bytes.readUInt32LE(0)) return undefined;
