--- a/src/value-store/segment-files.ts
+++ b/src/value-store/segment-files.ts
@@ -15,7 +15,7 @@
 } from './value-segment.js';
 
 /** One encoded record that is to be appended. */
-export interface AppendedRecord {
+export interface EncodedRecord {
   key: string;
   record: Buffer;
 }
@@ -89,7 +89,7 @@
    * @throws DiskFullError when there is no room; the same may be appended again later
    */
   async append(
-    records: readonly AppendedRecord[],
+    records: readonly EncodedRecord[],
   ): Promise<{ segment: ValueSegment; offsets: number[] }> {
     const segment = await this.writableSegment();
     const bytes = Buffer.concat(records.map(({ record }) => record));
--- a/src/value-store/value-store.ts
+++ b/src/value-store/value-store.ts
@@ -10,7 +10,7 @@
 import { DiskFullError, readBytes } from '../log-store/index.js';
 import type { Logger } from '../observability/index.js';
 import { PendingValues } from './pending-values.js';
-import { type AppendedRecord, SegmentFiles } from './segment-files.js';
+import { type EncodedRecord, SegmentFiles } from './segment-files.js';
 import type { StoreFolder } from './store-folder.js';
 import {
   decodeValueRecord,
@@ -285,7 +285,7 @@
   }
 
   /** @throws DiskFullError when the store's share of the disk is used up by what is wanted */
-  private async makeRoomFor(records: readonly AppendedRecord[]): Promise<void> {
+  private async makeRoomFor(records: readonly EncodedRecord[]): Promise<void> {
     const bytes = records.reduce((sum, { record }) => sum + record.length, 0);
     // Cleaning needs room for what it moves, which is less than a segment.
     const limit = this.quotaBytes - this.segmentBytes;
@@ -296,7 +296,7 @@
     }
   }
 
-  private async append(records: readonly AppendedRecord[]): Promise<ValueLocation[]> {
+  private async append(records: readonly EncodedRecord[]): Promise<ValueLocation[]> {
     const { segment, offsets } = await this.files.append(records);
     return records.map(({ record: { length } }, index) => {
       this.counters.writtenBytes += length;
@@ -351,7 +351,7 @@
     await this.files.sealIfLarge();
   }
 
-  private wantedRecords(segment: ValueSegment, bytes: Buffer): AppendedRecord[] {
+  private wantedRecords(segment: ValueSegment, bytes: Buffer): EncodedRecord[] {
     return scanValueRecords(bytes)
       .filter(({ key, offset }) => {
         const location = this.locations.get(key);
