--- a/src/value-store/value-record.ts
+++ b/src/value-store/value-record.ts
@@ -17,7 +17,7 @@
 export const MAX_KEY_BYTES = 0xffff;
 
 /** Bytes of a value's whole record. */
-export function recordBytes(key: string, value: Uint8Array): number {
+export function encodedRecordLength(key: string, value: Uint8Array): number {
   return RECORD_HEADER_BYTES + Buffer.byteLength(key) + value.length;
 }
 
--- a/src/value-store/value-store.ts
+++ b/src/value-store/value-store.ts
@@ -15,7 +15,7 @@
 import {
   decodeValueRecord,
   encodeValueRecord,
-  recordBytes,
+  encodedRecordLength,
   scanValueRecords,
 } from './value-record.js';
 import type { ValueLocation, ValueSegment } from './value-segment.js';
@@ -130,7 +130,7 @@
   put(key: string, value: Buffer): void {
     if (this.has(key)) return;
     this.pending.add(key, value);
-    this.counters.putBytes += recordBytes(key, value);
+    this.counters.putBytes += encodedRecordLength(key, value);
     if (this.isWriteDue) this.wakeWriter();
     else this.gatherTimer ??= setTimeout(() => this.endGathering(), this.gatherMs);
   }
