--- a/src/journal/commands.ts
+++ b/src/journal/commands.ts
@@ -210,7 +210,7 @@
   | { type: 'ended-programs'; programIds: string[] }
   | { type: 'statistics' };
 
-export type ProgramAnswer = { status: 'found'; program: ProgramSummary } | UnknownProgramResult;
+export type ProgramResponse = { status: 'found'; program: ProgramSummary } | UnknownProgramResult;
 export type CallAnswer =
   RunningResult | SettledResult | RefusedResult | { status: 'unknown-call' } | UnknownProgramResult;
 export type HistoryAnswer = { status: 'found'; turns: HistoryTurn[] } | UnknownProgramResult;
--- a/src/journal/journal-client.ts
+++ b/src/journal/journal-client.ts
@@ -13,7 +13,7 @@
   JournalQuery,
   OpenCommand,
   OpenResult,
-  ProgramAnswer,
+  ProgramResponse,
   RefuseCommand,
   RefuseResult,
   RestartCommand,
@@ -65,7 +65,7 @@
     return this.execute(command);
   }
 
-  readProgram(programId: string, tenant: string): Promise<ProgramAnswer> {
+  readProgram(programId: string, tenant: string): Promise<ProgramResponse> {
     return this.query({ type: 'program', programId, tenant });
   }
 
--- a/src/journal/queries.ts
+++ b/src/journal/queries.ts
@@ -6,7 +6,7 @@
   HistoryTurn,
   JournalQuery,
   JournalStatistics,
-  ProgramAnswer,
+  ProgramResponse,
 } from './commands.js';
 import { isRefused, refusal } from './begin.js';
 import { type JournalState, copyCall } from './journal-state.js';
@@ -16,7 +16,7 @@
 export function answerJournalQuery(
   state: JournalState,
   query: JournalQuery,
-): ProgramAnswer | CallAnswer | HistoryAnswer | EndedProgramsAnswer | JournalStatistics {
+): ProgramResponse | CallAnswer | HistoryAnswer | EndedProgramsAnswer | JournalStatistics {
   switch (query.type) {
     case 'program':
       return answerProgram(state, query.programId, query.tenant);
@@ -31,7 +31,7 @@
   }
 }
 
-function answerProgram(state: JournalState, programId: string, tenant: string): ProgramAnswer {
+function answerProgram(state: JournalState, programId: string, tenant: string): ProgramResponse {
   const program = state.find(programId, tenant);
   if (!program) return { status: 'unknown-program' };
   return { status: 'found', program: summarize(program) };
