--- a/src/callers/caller-api.ts
+++ b/src/callers/caller-api.ts
@@ -4,7 +4,7 @@
 import { type HttpExchange, HttpRouter, badRequest, readJson, sendJson } from '../http/index.js';
 import type { TenantIntent } from '../intents/index.js';
 import {
-  type CallAnswer,
+  type CallResponse,
   type CallRecord,
   type OpenCommand,
   type ProgramSummary,
@@ -272,7 +272,7 @@
   };
 }
 
-function recordOf(answer: CallAnswer): CallRecord {
+function recordOf(answer: CallResponse): CallRecord {
   switch (answer.status) {
     case 'running':
     case 'settled':
--- a/src/journal/commands.ts
+++ b/src/journal/commands.ts
@@ -211,7 +211,7 @@
   | { type: 'statistics' };
 
 export type ProgramResponse = { status: 'found'; program: ProgramSummary } | UnknownProgramResult;
-export type CallAnswer =
+export type CallResponse =
   RunningResult | SettledResult | RefusedResult | { status: 'unknown-call' } | UnknownProgramResult;
 export type HistoryAnswer = { status: 'found'; turns: HistoryTurn[] } | UnknownProgramResult;
 
--- a/src/journal/journal-client.ts
+++ b/src/journal/journal-client.ts
@@ -3,7 +3,7 @@
 import type {
   BeginCommand,
   BeginResult,
-  CallAnswer,
+  CallResponse,
   EndCommand,
   EndResult,
   FinishCommand,
@@ -69,7 +69,7 @@
     return this.query({ type: 'program', programId, tenant });
   }
 
-  readCall(programId: string, tenant: string, sequence: number): Promise<CallAnswer> {
+  readCall(programId: string, tenant: string, sequence: number): Promise<CallResponse> {
     return this.query({ type: 'call', programId, tenant, sequence });
   }
 
@@ -83,7 +83,7 @@
     tenant: string,
     sequence: number,
     waitMs: number,
-  ): Promise<CallAnswer> {
+  ): Promise<CallResponse> {
     const { groups, groupCount, timeoutMs } = this.options;
     const group = journalGroupOf(programId, groupCount);
     const request = { group, programId, tenant, sequence, waitMs };
@@ -108,7 +108,7 @@
   }
 }
 
-function readAwaitSettled(response: AwaitSettledResponse): TryResult<CallAnswer> {
+function readAwaitSettled(response: AwaitSettledResponse): TryResult<CallResponse> {
   if (response.answer) return { response: response.answer };
   return { leaderAddress: response.leaderAddress, refusal: 'not the leader' };
 }
--- a/src/journal/journal-leader.ts
+++ b/src/journal/journal-leader.ts
@@ -5,7 +5,7 @@
 import { monotonicMs, SignalEvent } from '../common/index.js';
 import { NotLeaderError, type ReplicatedGroup } from '../consensus/index.js';
 import { decodeValue, encodeValue } from '../wire/index.js';
-import type { CallAnswer, JournalCommand, JournalQuery, TimestampedCommand } from './commands.js';
+import type { CallResponse, JournalCommand, JournalQuery, TimestampedCommand } from './commands.js';
 import { JournalStateMachine } from './journal-state-machine.js';
 import { needsSweep } from './lifecycle.js';
 import type { AwaitSettledRequest } from './messages.js';
@@ -62,13 +62,13 @@
   }
 
   /** @throws NotLeaderError when this member does not lead or stops leading */
-  async awaitSettled(request: AwaitSettledRequest): Promise<CallAnswer> {
+  async awaitSettled(request: AwaitSettledRequest): Promise<CallResponse> {
     await this.group.confirmLeadership();
     const deadline = monotonicMs() + request.waitMs;
     const { programId, tenant, sequence } = request;
     for (;;) {
       const query: JournalQuery = { type: 'call', programId, tenant, sequence };
-      const answer = answerJournalQuery(this.stateMachine.state, query) as CallAnswer;
+      const answer = answerJournalQuery(this.stateMachine.state, query) as CallResponse;
       const remaining = deadline - monotonicMs();
       if (answer.status !== 'running' || remaining <= 0) return answer;
       await this.changed.waitUpTo(remaining);
--- a/src/journal/messages.ts
+++ b/src/journal/messages.ts
@@ -1,6 +1,6 @@
 /** Messages of the journal beside commands and queries. */
 import { defineMethod } from '../wire/index.js';
-import type { CallAnswer } from './commands.js';
+import type { CallResponse } from './commands.js';
 
 export interface AwaitSettledRequest {
   group: string;
@@ -13,7 +13,7 @@
 
 export interface AwaitSettledResponse {
   /** Absent when this member does not lead the group. */
-  answer?: CallAnswer;
+  answer?: CallResponse;
   leaderAddress?: string;
 }
 
--- a/src/journal/queries.ts
+++ b/src/journal/queries.ts
@@ -1,6 +1,6 @@
 /** Reads of the journal's state; all copy what they return. */
 import type {
-  CallAnswer,
+  CallResponse,
   EndedProgramsAnswer,
   HistoryAnswer,
   HistoryTurn,
@@ -16,7 +16,7 @@
 export function answerJournalQuery(
   state: JournalState,
   query: JournalQuery,
-): ProgramResponse | CallAnswer | HistoryAnswer | EndedProgramsAnswer | JournalStatistics {
+): ProgramResponse | CallResponse | HistoryAnswer | EndedProgramsAnswer | JournalStatistics {
   switch (query.type) {
     case 'program':
       return answerProgram(state, query.programId, query.tenant);
@@ -42,7 +42,7 @@
   programId: string,
   tenant: string,
   sequence: number,
-): CallAnswer {
+): CallResponse {
   const program = state.find(programId, tenant);
   if (!program) return { status: 'unknown-program' };
   const call = callOf(program, sequence);
