--- a/src/journal/commands.ts
+++ b/src/journal/commands.ts
@@ -213,7 +213,7 @@
 export type ProgramResponse = { status: 'found'; program: ProgramSummary } | UnknownProgramResult;
 export type CallResponse =
   RunningResult | SettledResult | RefusedResult | { status: 'unknown-call' } | UnknownProgramResult;
-export type HistoryAnswer = { status: 'found'; turns: HistoryTurn[] } | UnknownProgramResult;
+export type HistoryResponse = { status: 'found'; turns: HistoryTurn[] } | UnknownProgramResult;
 
 export interface EndedProgramsAnswer {
   programIds: string[];
--- a/src/journal/journal-client.ts
+++ b/src/journal/journal-client.ts
@@ -8,7 +8,7 @@
   EndResult,
   FinishCommand,
   FinishResult,
-  HistoryAnswer,
+  HistoryResponse,
   JournalCommand,
   JournalQuery,
   OpenCommand,
@@ -73,7 +73,7 @@
     return this.query({ type: 'call', programId, tenant, sequence });
   }
 
-  readHistory(programId: string, tenant: string, afterSequence: number): Promise<HistoryAnswer> {
+  readHistory(programId: string, tenant: string, afterSequence: number): Promise<HistoryResponse> {
     return this.query({ type: 'history', programId, tenant, afterSequence });
   }
 
--- a/src/journal/queries.ts
+++ b/src/journal/queries.ts
@@ -2,7 +2,7 @@
 import type {
   CallResponse,
   EndedProgramsAnswer,
-  HistoryAnswer,
+  HistoryResponse,
   HistoryTurn,
   JournalQuery,
   JournalStatistics,
@@ -16,7 +16,7 @@
 export function answerJournalQuery(
   state: JournalState,
   query: JournalQuery,
-): ProgramResponse | CallResponse | HistoryAnswer | EndedProgramsAnswer | JournalStatistics {
+): ProgramResponse | CallResponse | HistoryResponse | EndedProgramsAnswer | JournalStatistics {
   switch (query.type) {
     case 'program':
       return answerProgram(state, query.programId, query.tenant);
@@ -56,7 +56,7 @@
   programId: string,
   tenant: string,
   afterSequence: number,
-): HistoryAnswer {
+): HistoryResponse {
   const program = state.find(programId, tenant);
   if (!program) return { status: 'unknown-program' };
   const turns: HistoryTurn[] = program.calls
