--- a/src/control/hold-reconciler.ts
+++ b/src/control/hold-reconciler.ts
@@ -10,7 +10,7 @@
 import type { GroupClient } from '../consensus/index.js';
 import type { BackendIntent, IntentDocument } from '../intents/index.js';
 import {
-  type EndedProgramsAnswer,
+  type EndedProgramsResponse,
   type JournalQuery,
   isProgramId,
   journalGroupOf,
@@ -113,7 +113,7 @@
       [...byGroup].map(([group, ids]) => {
         const query: JournalQuery = { type: 'ended-programs', programIds: ids };
         const limits = { timeoutMs: TIMEOUT_MS };
-        return groups.query<JournalQuery, EndedProgramsAnswer>(group, query, limits);
+        return groups.query<JournalQuery, EndedProgramsResponse>(group, query, limits);
       }),
     );
     return answers.flatMap((answer) => answer.programIds);
--- a/src/journal/commands.ts
+++ b/src/journal/commands.ts
@@ -215,7 +215,7 @@
   RunningResult | SettledResult | RefusedResult | { status: 'unknown-call' } | UnknownProgramResult;
 export type HistoryResponse = { status: 'found'; turns: HistoryTurn[] } | UnknownProgramResult;
 
-export interface EndedProgramsAnswer {
+export interface EndedProgramsResponse {
   programIds: string[];
 }
 
--- a/src/journal/queries.ts
+++ b/src/journal/queries.ts
@@ -1,7 +1,7 @@
 /** Reads of the journal's state; all copy what they return. */
 import type {
   CallResponse,
-  EndedProgramsAnswer,
+  EndedProgramsResponse,
   HistoryResponse,
   HistoryTurn,
   JournalQuery,
@@ -16,7 +16,7 @@
 export function answerJournalQuery(
   state: JournalState,
   query: JournalQuery,
-): ProgramResponse | CallResponse | HistoryResponse | EndedProgramsAnswer | JournalStatistics {
+): ProgramResponse | CallResponse | HistoryResponse | EndedProgramsResponse | JournalStatistics {
   switch (query.type) {
     case 'program':
       return answerProgram(state, query.programId, query.tenant);
