--- a/src/ledger/kept-turn-index.ts
+++ b/src/ledger/kept-turn-index.ts
@@ -3,7 +3,7 @@
  * inputs and outputs are values on this member's disk.
  */
 import { type KeptTurn, type KeptTurnReference, hasInlineValue } from './ledger-commands.js';
-import type { TurnValues } from './turn-values.js';
+import type { TurnValueStore } from './turn-values.js';
 import { UnreferencedValues } from './unreferenced-values.js';
 
 interface IndexedTurn {
@@ -24,7 +24,7 @@
   /** Values that no turn of the state names yet. */
   readonly unnamed = new UnreferencedValues();
 
-  constructor(private readonly values: TurnValues) {}
+  constructor(private readonly values: TurnValueStore) {}
 
   get size(): number {
     return this.turns.size;
--- a/src/ledger/ledger-state-machine.ts
+++ b/src/ledger/ledger-state-machine.ts
@@ -15,7 +15,7 @@
 import { type EncodedAccount, ProgramBudgets } from './program-budgets.js';
 import { type EncodedPlacements, ProgramPlacements } from './program-placements.js';
 import { type ReadTurnsAt, TurnHistoryStore } from './turn-history-store.js';
-import type { TurnValues } from './turn-values.js';
+import type { TurnValueStore } from './turn-values.js';
 
 const SWEEP_INTERVAL_MS = 5_000;
 /**
@@ -35,7 +35,7 @@
 
 export interface LedgerStateOptions {
   /** Where inputs and outputs of kept turns are. */
-  values: TurnValues;
+  values: TurnValueStore;
   readTurnsAt: ReadTurnsAt;
   logger: Logger;
 }
--- a/src/ledger/turn-history-store.ts
+++ b/src/ledger/turn-history-store.ts
@@ -10,7 +10,7 @@
 import type { KeptTurnIndex } from './kept-turn-index.js';
 import { LossReports } from './loss-reports.js';
 import type { ReadTurnsResponse, ReadTurnsRequest } from './messages.js';
-import type { TurnValues } from './turn-values.js';
+import type { TurnValueStore } from './turn-values.js';
 
 /** Values that no member gave; the turns are kept, so that the caller may try again. */
 export class TurnValuesMissingError extends LedgegaugeError {}
@@ -57,7 +57,7 @@
 
 export interface TurnHistoriesOptions {
   turns: KeptTurnIndex;
-  values: TurnValues;
+  values: TurnValueStore;
   readTurnsAt: ReadTurnsAt;
   /** Ids of the turns that an encoded state names. */
   turnsNamedBy: (state: Uint8Array) => string[];
--- a/src/ledger/turn-values.ts
+++ b/src/ledger/turn-values.ts
@@ -2,7 +2,7 @@
 import type { ValueStore } from '../value-store/index.js';
 
 /** What the ledger needs of a value store; a value is a turn's input followed by its output. */
-export type TurnValues = Pick<
+export type TurnValueStore = Pick<
   ValueStore,
   'has' | 'put' | 'get' | 'delete' | 'retain' | 'sync' | 'waitForRoom'
 >;
--- a/tests/support/memory-values.ts
+++ b/tests/support/memory-values.ts
@@ -1,7 +1,7 @@
 /** Values of kept turns in memory, for tests of what only needs them to be there. */
-import type { TurnValues } from '../../src/ledger/index.js';
+import type { TurnValueStore } from '../../src/ledger/index.js';
 
-export class MemoryValues implements TurnValues {
+export class MemoryValues implements TurnValueStore {
   readonly values = new Map<string, Buffer>();
 
   has(key: string): boolean {
