--- a/src/ledger/index.ts
+++ b/src/ledger/index.ts
@@ -11,7 +11,7 @@
 export { LedgerService } from './ledger-service.js';
 export { LedgerStateMachine } from './ledger-state-machine.js';
 export { TurnValuesMissingError } from './turn-history-store.js';
-export type { TurnValueStore } from './turn-values.js';
+export type { TurnValueStore } from './turn-value-store.js';
 export * from './messages.js';
 export type { TurnPlacement } from './program-placements.js';
 export { HistoryReader } from './history-reader.js';
--- a/src/ledger/kept-turn-index.ts
+++ b/src/ledger/kept-turn-index.ts
@@ -3,7 +3,7 @@
  * inputs and outputs are values on this member's disk.
  */
 import { type KeptTurn, type KeptTurnReference, hasInlineValue } from './ledger-commands.js';
-import type { TurnValueStore } from './turn-values.js';
+import type { TurnValueStore } from './turn-value-store.js';
 import { UnreferencedValues } from './unreferenced-values.js';
 
 interface IndexedTurn {
--- a/src/ledger/ledger-state-machine.ts
+++ b/src/ledger/ledger-state-machine.ts
@@ -15,7 +15,7 @@
 import { type EncodedAccount, ProgramBudgets } from './program-budgets.js';
 import { type EncodedPlacements, ProgramPlacements } from './program-placements.js';
 import { type ReadTurnsAt, TurnHistoryStore } from './turn-history-store.js';
-import type { TurnValueStore } from './turn-values.js';
+import type { TurnValueStore } from './turn-value-store.js';
 
 const SWEEP_INTERVAL_MS = 5_000;
 /**
--- a/src/ledger/turn-history-store.ts
+++ b/src/ledger/turn-history-store.ts
@@ -10,7 +10,7 @@
 import type { KeptTurnIndex } from './kept-turn-index.js';
 import { LossReports } from './loss-reports.js';
 import type { ReadTurnsResponse, ReadTurnsRequest } from './messages.js';
-import type { TurnValueStore } from './turn-values.js';
+import type { TurnValueStore } from './turn-value-store.js';
 
 /** Values that no member gave; the turns are kept, so that the caller may try again. */
 export class TurnValuesMissingError extends LedgegaugeError {}
