--- a/src/ledger/turn-history-store.ts
+++ b/src/ledger/turn-history-store.ts
@@ -55,7 +55,7 @@
   lost: string[];
 }
 
-export interface TurnHistoriesOptions {
+export interface TurnHistoryStoreOptions {
   turns: KeptTurnIndex;
   values: TurnValueStore;
   readTurnsAt: ReadTurnsAt;
@@ -74,7 +74,7 @@
   private readonly fetched = { asked: 0, missing: 0 };
   private reportedAt = Number.NEGATIVE_INFINITY;
 
-  constructor(private readonly options: TurnHistoriesOptions) {}
+  constructor(private readonly options: TurnHistoryStoreOptions) {}
 
   waitForRoom(): Promise<void> {
     return this.options.values.waitForRoom();
