--- a/src/ledger/ledger-state-machine.ts
+++ b/src/ledger/ledger-state-machine.ts
@@ -55,8 +55,8 @@
     this.external = new TurnHistoryStore({
       ...options,
       turns: this.turns,
-      turnsNamedBy,
-      turnsNamedIn,
+      turnIdsInSnapshot,
+      turnIdsInEntry,
     });
   }
 
@@ -144,7 +144,7 @@
 }
 
 /** Turns that an entry names without their values. */
-function turnsNamedIn({ kind, data }: LogEntry): string[] {
+function turnIdsInEntry({ kind, data }: LogEntry): string[] {
   if (kind !== 'command') return [];
   const command = decodeValue<LedgerCommand>(data);
   if (command.kind !== 'settle') return [];
@@ -153,6 +153,6 @@
   );
 }
 
-function turnsNamedBy(state: Uint8Array): string[] {
+function turnIdsInSnapshot(state: Uint8Array): string[] {
   return decodeState(state).turns.map(([id]) => id);
 }
--- a/src/ledger/turn-history-store.ts
+++ b/src/ledger/turn-history-store.ts
@@ -60,9 +60,9 @@
   values: TurnValueStore;
   readTurnsAt: ReadTurnsAt;
   /** Ids of the turns that an encoded state names. */
-  turnsNamedBy: (state: Uint8Array) => string[];
+  turnIdsInSnapshot: (state: Uint8Array) => string[];
   /** Turns that a log entry names without their values. */
-  turnsNamedIn: (entry: LogEntry) => string[];
+  turnIdsInEntry: (entry: LogEntry) => string[];
   logger: Logger;
 }
 
@@ -150,7 +150,7 @@
     sources: readonly Member[],
     getsCopies: boolean,
   ): Promise<readonly LogEntry[]> {
-    const turnsOf = entries.map((entry) => this.options.turnsNamedIn(entry));
+    const turnsOf = entries.map((entry) => this.options.turnIdsInEntry(entry));
     const named = entries.flatMap(({ index }, place) =>
       turnsOf[place]!.map((turn): TurnAtIndex => ({ turn, index })),
     );
@@ -166,7 +166,7 @@
   noteLogged(entries: readonly LogEntry[]): void {
     const { turns } = this.options;
     for (const entry of entries) {
-      for (const [place, turn] of this.options.turnsNamedIn(entry).entries()) {
+      for (const [place, turn] of this.options.turnIdsInEntry(entry).entries()) {
         const value = entry.attachments?.[place];
         if (value && value.length > 0) this.put(turn, value);
         turns.unnamed.noteLogged(turn, entry.index);
@@ -176,7 +176,7 @@
 
   async fetchMissing({ state, index }: StoredSnapshot, sources: readonly Member[]): Promise<void> {
     const isMissing = (id: string): boolean => !this.options.values.has(id);
-    const wanted = new Set(this.options.turnsNamedBy(state).filter(isMissing));
+    const wanted = new Set(this.options.turnIdsInSnapshot(state).filter(isMissing));
     if (wanted.size === 0) return;
     const reports = await this.fetch(wanted, sources, index);
     this.giveUp(reports.lostByMostOf(sources), wanted);
