--- a/lab/ledger/ledger-host.ts
+++ b/lab/ledger/ledger-host.ts
@@ -101,7 +101,7 @@
     peers: host.peers,
     stateMachine,
     findGroup: () => host.group,
-    mustRefuse: () => false,
+    isUnderMemoryPressure: () => false,
   });
   service.registerHandlers(host.router);
   await host.listen();
--- a/src/ledger/ledger-service.ts
+++ b/src/ledger/ledger-service.ts
@@ -45,7 +45,7 @@
   stateMachine: LedgerStateMachine;
   findGroup: () => ReplicatedGroup | undefined;
   /** Whether this process is so short of memory that reservations must wait. */
-  mustRefuse: () => boolean;
+  isUnderMemoryPressure: () => boolean;
 }
 
 /** The process is short of memory; nothing was reserved. */
@@ -119,7 +119,7 @@
   }
 
   private async reserve(group: ReplicatedGroup, request: ReserveRequest): Promise<ReserveResponse> {
-    if (this.options.mustRefuse()) throw overloadedError();
+    if (this.options.isUnderMemoryPressure()) throw overloadedError();
     const { wantsHistory, mayReadElsewhere, copyTargets: known, ...reservation } = request;
     const command: LedgerCommand = { kind: 'reserve', ...reservation, nowMs: this.nowMs(group) };
     const reserved = (await group.propose(encodeValue(command))) as ReserveResult;
--- a/src/nodes/journal-node.ts
+++ b/src/nodes/journal-node.ts
@@ -92,7 +92,7 @@
       peers,
       stateMachine,
       findGroup: () => member.group,
-      mustRefuse: () => memory.isTight(),
+      isUnderMemoryPressure: () => memory.isTight(),
     });
     service.registerHandlers(member.router);
     const node: JournalNode = new JournalNode(
--- a/tests/support/ledger-cluster.ts
+++ b/tests/support/ledger-cluster.ts
@@ -234,7 +234,7 @@
     peers: network.notifierOf(running.member.address),
     stateMachine,
     findGroup,
-    mustRefuse: () => false,
+    isUnderMemoryPressure: () => false,
   });
   service.registerHandlers(running.router);
   return { running, machine, service };
--- a/tests/support/simulated-disk-member.ts
+++ b/tests/support/simulated-disk-member.ts
@@ -146,7 +146,7 @@
       peers: notifierOf(this.peers),
       stateMachine,
       findGroup: () => group,
-      mustRefuse: () => false,
+      isUnderMemoryPressure: () => false,
     });
     service.registerHandlers(router);
     const isRetiring = (): boolean => false;
