--- a/src/ledger/ledger-service.ts
+++ b/src/ledger/ledger-service.ts
@@ -61,7 +61,7 @@
   constructor(private readonly options: LedgerServiceOptions) {}
 
   /** Turns that the state of this member names. */
-  get namedTurns(): number {
+  get keptTurnCount(): number {
     return this.options.stateMachine.turns.size;
   }
 
--- a/src/nodes/journal-node.ts
+++ b/src/nodes/journal-node.ts
@@ -123,7 +123,7 @@
     const add = (name: string, help: string, read: () => number): void =>
       addGauge(registry, `ledgegauge_kept_turns${name}`, help, read);
     add('', 'Turns whose values are held', () => values.size);
-    add('_named', 'Turns that the state names', () => this.service.namedTurns);
+    add('_named', 'Turns that the state names', () => this.service.keptTurnCount);
     add('_disk_bytes', 'Bytes of their segments', () => values.diskBytes.total);
     add('_live_bytes', 'Bytes of those that are still wanted', () => values.diskBytes.live);
     add('_waiting_bytes', 'Bytes that wait to be written', () => values.pendingBytes);
