--- a/src/ledger/ledger-client.ts
+++ b/src/ledger/ledger-client.ts
@@ -186,7 +186,7 @@
       throw new NotReservedError('too many wait for the ledger');
     }
     const timeoutMs = Math.max(1, askedAt + limitMs - enteredAt);
-    steps.questions += 1;
+    steps.requestCount += 1;
     try {
       return await this.askLeader(request, timeoutMs);
     } catch (error) {
--- a/src/ledger/missing-history.test.ts
+++ b/src/ledger/missing-history.test.ts
@@ -138,6 +138,6 @@
     expect(error.comeBackMs).toBeGreaterThan(HELD_MS - ASK_AGAIN_MS);
     const { group } = await ledger.cluster.waitLeader();
     expect(steps).toMatchObject({ failed: 'read-history', leader: group.leaderAddress });
-    expect(steps.questions).toBeGreaterThan(1);
+    expect(steps.requestCount).toBeGreaterThan(1);
   });
 });
--- a/src/ledger/reservation-trace.ts
+++ b/src/ledger/reservation-trace.ts
@@ -17,7 +17,7 @@
 export class ReservationTrace {
   readonly times: ReservationTimings = { windowMs: 0, leaderMs: 0, historyMs: 0 };
   /** Questions that were put to the ledger. */
-  questions = 0;
+  requestCount = 0;
   /** What this gateway knew of the leader before it asked. */
   knownLeader: HeardLeader | undefined;
   /** Who answered as the leader. */
