--- a/src/forwarding/call-log.ts
+++ b/src/forwarding/call-log.ts
@@ -29,7 +29,14 @@
 
 /** What a reservation went through; the leader's age is that of what this gateway knew before it asked. */
 export function describeSteps(steps: ReservationTrace): LogFields {
-  const { times, requestCount: questions, knownLeader, leader, historyFrom, failed } = steps;
+  const {
+    times,
+    requestCount: questions,
+    knownLeader,
+    leader,
+    historyFrom,
+    failedStep: failed,
+  } = steps;
   return {
     reserveParts: describeTimes(times),
     ledgerAsked: questions,
--- a/src/forwarding/turn-reservations.ts
+++ b/src/forwarding/turn-reservations.ts
@@ -123,7 +123,7 @@
       return await this.ask(exchange, turn, time, steps);
     } catch (error) {
       if (error instanceof RefusedError) throw error;
-      const { failed: step } = steps;
+      const { failedStep: step } = steps;
       if (step) this.options.metrics.noteFailedReservation(step);
       const reason = describeError(error);
       this.options.logger.warn('reservation failed', { call, program: program?.id, step, reason });
@@ -183,7 +183,7 @@
     }
     const history = known ?? answer.history;
     if (previousTurn !== undefined && !history) {
-      steps.failed = 'read-history';
+      steps.failedStep = 'read-history';
       throw new HistoryMissingError('the ledger gave none');
     }
     const { allowanceTaken, lastBackend } = answer;
--- a/src/ledger/ledger-client.ts
+++ b/src/ledger/ledger-client.ts
@@ -109,7 +109,7 @@
     if (isCovered && monotonicMs() < this.suspectUntil) return this.takeAllowance(request);
     const limitMs = isCovered ? COVERED_RESERVE_TIMEOUT_MS : this.outage.waitMs(usefulMs);
     if (limitMs <= 0) {
-      steps.failed = this.latestRefusal ? 'commit' : 'find-leader';
+      steps.failedStep = this.latestRefusal ? 'commit' : 'find-leader';
       throw this.refuseToWait();
     }
     try {
@@ -182,7 +182,7 @@
     const enteredAt = monotonicMs();
     steps.times.windowMs += enteredAt - askedAt;
     if (!hasEntered) {
-      steps.failed = 'enter-window';
+      steps.failedStep = 'enter-window';
       throw new NotReservedError('too many wait for the ledger');
     }
     const timeoutMs = Math.max(1, askedAt + limitMs - enteredAt);
@@ -190,7 +190,7 @@
     try {
       return await this.askLeader(request, timeoutMs);
     } catch (error) {
-      steps.failed = error instanceof LeaderRefusedError ? 'commit' : 'find-leader';
+      steps.failedStep = error instanceof LeaderRefusedError ? 'commit' : 'find-leader';
       throw error;
     } finally {
       steps.times.leaderMs += monotonicMs() - enteredAt;
--- a/src/ledger/reservation-attempt.ts
+++ b/src/ledger/reservation-attempt.ts
@@ -85,7 +85,7 @@
     for (;;) {
       const { silentMs = Infinity } = latest;
       if (Math.max(silentMs, ASK_AGAIN_MS) >= this.leftMs) {
-        steps.failed = 'read-history';
+        steps.failedStep = 'read-history';
         throw HistoryMissingError.of(latest);
       }
       await sleep(ASK_AGAIN_MS);
--- a/src/ledger/reservation-trace.ts
+++ b/src/ledger/reservation-trace.ts
@@ -25,5 +25,5 @@
   /** The member that gave the history. */
   historyFrom: string | undefined;
   /** The step that failed last. */
-  failed: ReservationStep | undefined;
+  failedStep: ReservationStep | undefined;
 }
