--- a/src/consensus/commit-times.ts
+++ b/src/consensus/commit-times.ts
@@ -1,7 +1,7 @@
 /** Where the time of a command goes at a member, part by part, for its log. */
 import { DurationSummary } from '../observability/index.js';
 
-export interface CommitTimes {
+export interface CommitTimings {
   /** A leader's commands: from their arrival to the log. */
   gate: DurationSummary;
   /** From the log to the leader's own sync. */
@@ -12,7 +12,7 @@
   append: DurationSummary;
 }
 
-export function createCommitTimes(): CommitTimes {
+export function createCommitTimes(): CommitTimings {
   return {
     gate: new DurationSummary(),
     ownSync: new DurationSummary(),
--- a/src/consensus/proposal-limiter.ts
+++ b/src/consensus/proposal-limiter.ts
@@ -4,7 +4,7 @@
  * have given up, and everything after it is late.
  */
 import { Deferred, monotonicMs } from '../common/index.js';
-import type { CommitTimes } from './commit-times.js';
+import type { CommitTimings } from './commit-times.js';
 import { CommitWindow } from './commit-window.js';
 import { GroupOverloadedError } from './errors.js';
 
@@ -27,7 +27,7 @@
   /** Appends a command; resolves with its result once it is committed and applied. */
   append: (proposal: Proposal) => Promise<unknown>;
   /** How long commands waited, and took from the log to the end of applying, in milliseconds. */
-  times: Pick<CommitTimes, 'gate' | 'commit'>;
+  times: Pick<CommitTimings, 'gate' | 'commit'>;
   /** Called at most once a second while commands are refused, with how many were since the last call. */
   onRefused: (count: number) => void;
 }
