--- a/src/consensus/commit-times.ts
+++ b/src/consensus/commit-times.ts
@@ -12,7 +12,7 @@
   append: DurationSummary;
 }
 
-export function createCommitTimes(): CommitTimings {
+export function createCommitTimings(): CommitTimings {
   return {
     gate: new DurationSummary(),
     ownSync: new DurationSummary(),
--- a/src/consensus/proposal-limiter.test.ts
+++ b/src/consensus/proposal-limiter.test.ts
@@ -1,7 +1,7 @@
 /** Which commands go to a leader's log, which wait, and which are refused. */
 import { describe, expect, it } from 'vitest';
 import { Deferred, sleep } from '../common/index.js';
-import { createCommitTimes } from './commit-times.js';
+import { createCommitTimings } from './commit-times.js';
 import { GroupOverloadedError } from './errors.js';
 import { ProposalLimiter } from './proposal-limiter.js';
 
@@ -20,7 +20,7 @@
     commitTargetMs: COMMIT_TARGET_MS,
     maxWaitMs: MAX_WAIT_MS,
     append: ({ command }) => this.append(command),
-    times: createCommitTimes(),
+    times: createCommitTimings(),
     onRefused: (count) => this.reported.push(count),
   });
 
--- a/src/consensus/replicated-group.ts
+++ b/src/consensus/replicated-group.ts
@@ -9,7 +9,7 @@
 import { DiskFullError, type LogEntry, StorageFullError } from '../log-store/index.js';
 import type { CallOptions, Method } from '../wire/index.js';
 import { Applier, type StoredSnapshotMarks } from './applier.js';
-import { createCommitTimes } from './commit-times.js';
+import { createCommitTimings } from './commit-times.js';
 import {
   type GroupConfiguration,
   type Member,
@@ -74,7 +74,7 @@
   /** Monotonic time since when this member has led, in milliseconds. */
   leadingSince = 0;
   readonly traffic = createReplicationTraffic();
-  readonly times = createCommitTimes();
+  readonly times = createCommitTimings();
   readonly sendsSnapshots = true;
   private readonly duty: FollowerRequestHandler;
   private readonly replicators = new Map<string, Replicator>();
