--- a/src/consensus/proposal-limiter.test.ts
+++ b/src/consensus/proposal-limiter.test.ts
@@ -1,7 +1,7 @@
 /** Which commands go to a leader's log, which wait, and which are refused. */
 import { describe, expect, it } from 'vitest';
 import { Deferred, sleep } from '../common/index.js';
-import { createCommitTimings } from './commit-times.js';
+import { createCommitTimings } from './commit-timings.js';
 import { GroupOverloadedError } from './errors.js';
 import { ProposalLimiter } from './proposal-limiter.js';
 
--- a/src/consensus/proposal-limiter.ts
+++ b/src/consensus/proposal-limiter.ts
@@ -4,7 +4,7 @@
  * have given up, and everything after it is late.
  */
 import { Deferred, monotonicMs } from '../common/index.js';
-import type { CommitTimings } from './commit-times.js';
+import type { CommitTimings } from './commit-timings.js';
 import { CommitWindow } from './commit-window.js';
 import { GroupOverloadedError } from './errors.js';
 
--- a/src/consensus/replicated-group.ts
+++ b/src/consensus/replicated-group.ts
@@ -9,7 +9,7 @@
 import { DiskFullError, type LogEntry, StorageFullError } from '../log-store/index.js';
 import type { CallOptions, Method } from '../wire/index.js';
 import { Applier, type StoredSnapshotMarks } from './applier.js';
-import { createCommitTimings } from './commit-times.js';
+import { createCommitTimings } from './commit-timings.js';
 import {
   type GroupConfiguration,
   type Member,
