--- a/src/wire/peer-link.ts
+++ b/src/wire/peer-link.ts
@@ -35,7 +35,7 @@
  */
 const HANDSHAKE_STEP_TIMEOUT_MS = 3_200;
 /** A leader that lives is back, and has sent a heartbeat, before its followers begin an election. */
-export const FIRST_RECONNECT_DELAY_MS = 20;
+export const INITIAL_RECONNECT_DELAY_MS = 20;
 export const MAXIMUM_RECONNECT_DELAY_MS = 100;
 
 export interface PeerLinkOptions {
@@ -107,7 +107,7 @@
 
   private async run(): Promise<void> {
     const backoff = new Backoff({
-      initialMs: FIRST_RECONNECT_DELAY_MS,
+      initialMs: INITIAL_RECONNECT_DELAY_MS,
       maximumMs: MAXIMUM_RECONNECT_DELAY_MS,
     });
     while (!this.stopping.signal.aborted) {
--- a/tests/time-budgets.test.ts
+++ b/tests/time-budgets.test.ts
@@ -30,7 +30,7 @@
 import { CONNECTION_ATTEMPT_DELAY_MS } from '../src/wire/connection-race.js';
 import {
   CONNECT_TIMEOUT_MS,
-  FIRST_RECONNECT_DELAY_MS,
+  INITIAL_RECONNECT_DELAY_MS,
   MAXIMUM_RECONNECT_DELAY_MS,
 } from '../src/wire/peer-link.js';
 import { MAX_SILENCE_LIMIT_MS, SUSPECT_AFTER_SILENCE_MS } from '../src/wire/rpc-connection.js';
@@ -165,7 +165,7 @@
   {
     row: 'members: connection reset',
     boundMs: timing.disconnectTimeoutMs,
-    parts: [FIRST_RECONNECT_DELAY_MS, MEMBER_HANDSHAKE_MS, timing.heartbeatIntervalMs],
+    parts: [INITIAL_RECONNECT_DELAY_MS, MEMBER_HANDSHAKE_MS, timing.heartbeatIntervalMs],
   },
   {
     row: 'restart: everything without power',
