--- a/src/directory/directory-leader.ts
+++ b/src/directory/directory-leader.ts
@@ -14,7 +14,7 @@
 import { HeartbeatTable } from './heartbeat-table.js';
 import type { Incarnation } from './incarnation.js';
 import { LedgerFounding } from './ledger-founding.js';
-import { LoadBoard } from './load-board.js';
+import { LoadReportStore } from './load-report-store.js';
 import type {
   ClusterView,
   DirectoryView,
@@ -75,7 +75,7 @@
 export class DirectoryLeader {
   readonly stateMachine: DirectoryStateMachine;
   private readonly roster = new NodeRoster();
-  private readonly loads = new LoadBoard();
+  private readonly loads = new LoadReportStore();
   private readonly confirmations = new GatewayConfirmations();
   private readonly heartbeats: HeartbeatTable;
   private readonly founding: LedgerFounding;
--- a/src/directory/load-board.test.ts
+++ b/src/directory/load-report-store.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
-import { LoadBoard } from './load-board.js';
+import { LoadReportStore } from './load-report-store.js';
 import { othersOf } from './load-totals.js';
 import type { BackendLoad } from './messages.js';
 
@@ -18,13 +18,13 @@
   return [...loads].sort((left, right) => left.id.localeCompare(right.id));
 }
 
-function othersThan(board: LoadBoard, gateway: string): BackendLoad[] {
+function othersThan(board: LoadReportStore, gateway: string): BackendLoad[] {
   return othersOf(board.totalsFor(gateway));
 }
 
 describe('load board', () => {
   it('tells each gateway of the calls of the others', () => {
-    const board = new LoadBoard(PACKED_ANEW);
+    const board = new LoadReportStore(PACKED_ANEW);
     board.report('a', [{ id: 'x', inFlight: 2 }]);
     board.report('b', [
       { id: 'x', inFlight: 3 },
@@ -42,7 +42,7 @@
   });
 
   it('forgets a gateway that has not reported for a while', () => {
-    const board = new LoadBoard(PACKED_ANEW);
+    const board = new LoadReportStore(PACKED_ANEW);
     board.report('a', [{ id: 'x', inFlight: 2 }]);
     vi.advanceTimersByTime(EXPIRED_MS);
     board.report('b', [{ id: 'x', inFlight: 1 }]);
@@ -57,7 +57,7 @@
     );
     fc.assert(
       fc.property(fc.array(fc.tuple(gateway, loads)), gateway, (reports, asker) => {
-        const board = new LoadBoard(PACKED_ANEW);
+        const board = new LoadReportStore(PACKED_ANEW);
         const latest = new Map<string, BackendLoad[]>();
         for (const [name, reported] of reports) {
           board.report(name, reported);
@@ -77,7 +77,7 @@
   });
 
   it('answers at a cost that does not grow with the number of gateways', () => {
-    const board = new LoadBoard(PACKED_ANEW);
+    const board = new LoadReportStore(PACKED_ANEW);
     let read = 0;
     const counted = (): BackendLoad[] =>
       new Proxy([{ id: 'x', inFlight: 1 }], {
@@ -93,7 +93,7 @@
   });
 
   it('packs the calls once for gateways that ask at about the same time, and takes out what each reported then', () => {
-    const board = new LoadBoard(() => VALID_MS);
+    const board = new LoadReportStore(() => VALID_MS);
     board.report('a', [{ id: 'x', inFlight: 2 }]);
     board.report('b', [{ id: 'x', inFlight: 3 }]);
     const first = board.totalsFor('a');
--- a/src/directory/load-board.ts
+++ b/src/directory/load-report-store.ts
@@ -31,7 +31,7 @@
  * Keeps the sums of all reports, so that a report costs what it holds, and packs them once for all gateways that ask at
  * about the same time.
  */
-export class LoadBoard {
+export class LoadReportStore {
   private readonly reports = new Map<string, LoadReport>();
   private readonly sums = new Map<string, number>();
   private expiredAt = Number.NEGATIVE_INFINITY;
