--- a/src/directory/answer-turns.test.ts
+++ b/src/directory/answer-turns.test.ts
@@ -8,7 +8,7 @@
 import { CommittingDirectory } from '../../tests/support/committing-directory.js';
 import { type KnownVersions, NOTHING_KNOWN } from './messages.js';
 import { unpackNews } from './packed-news.js';
-import type { SilenceChanges } from './silence-board.js';
+import type { SilenceChanges } from './silent-backend-tracker.js';
 
 const WATCHERS = 90;
 const MOST_ANSWERS_A_TURN = 8;
--- a/src/directory/backend-news.test.ts
+++ b/src/directory/backend-news.test.ts
@@ -10,7 +10,11 @@
 import { DirectoryStateMachine } from './directory-state-machine.js';
 import { HeldBackends } from './held-backends.js';
 import { unpackNews } from './packed-news.js';
-import { SilenceBoard, type SilenceChanges, type SilenceVersion } from './silence-board.js';
+import {
+  SilentBackendTracker,
+  type SilenceChanges,
+  type SilenceVersion,
+} from './silent-backend-tracker.js';
 
 const MEMBERS = 3;
 const FOLLOWERS = 2;
@@ -152,7 +156,7 @@
 
 /** A follower of leaders, one term after the other, that tell which back ends are silent. */
 class FollowedSilence {
-  private readonly board = new SilenceBoard();
+  private readonly board = new SilentBackendTracker();
   private readonly held = new HeldBackends();
   /** Which were silent at each version. */
   private readonly states = new Map<string, string>();
@@ -226,8 +230,8 @@
   });
 
   it('takes nothing of an earlier leader for what follows on a later one', () => {
-    const earlier = new SilenceBoard();
-    const later = new SilenceBoard();
+    const earlier = new SilentBackendTracker();
+    const later = new SilentBackendTracker();
     const held = new HeldBackends();
     const directory = new Directory();
     for (const name of [0, 1]) {
--- a/src/directory/directory-leader.test.ts
+++ b/src/directory/directory-leader.test.ts
@@ -12,7 +12,7 @@
 } from './messages.js';
 import { unpackRoutes, unpackSource } from './packed-configuration.js';
 import { unpackNews } from './packed-news.js';
-import type { SilenceChanges } from './silence-board.js';
+import type { SilenceChanges } from './silent-backend-tracker.js';
 
 const HERD_SIZE = 200;
 const HERD_WINDOW_MS = 700;
--- a/src/directory/directory-leader.ts
+++ b/src/directory/directory-leader.ts
@@ -26,7 +26,7 @@
 } from './messages.js';
 import { NewsPacer } from './news-pacer.js';
 import { NodeRoster } from './node-roster.js';
-import { SilenceBoard } from './silence-board.js';
+import { SilentBackendTracker } from './silent-backend-tracker.js';
 
 /** How long a watcher waits for news at most, in milliseconds. */
 export const WATCH_WAIT_MS = 200;
@@ -87,7 +87,7 @@
   /** What the latest cluster version stands for, to tell whether anything has changed. */
   private clusterContent = '';
   private clusterTimer: NodeJS.Timeout | undefined;
-  private readonly silence = new SilenceBoard();
+  private readonly silence = new SilentBackendTracker();
   /** Log index of the changes of back ends for which waiting questions are answered. */
   private toldBackendsIndex = 0;
   private toldConfigurationIndex = 0;
--- a/src/directory/directory-watcher.ts
+++ b/src/directory/directory-watcher.ts
@@ -21,7 +21,7 @@
 import { othersOf } from './load-totals.js';
 import { unpackRoutes } from './packed-configuration.js';
 import { unpackNews } from './packed-news.js';
-import type { SilenceChanges } from './silence-board.js';
+import type { SilenceChanges } from './silent-backend-tracker.js';
 
 /** The answer of a leader that is behind is waited for so long, in milliseconds. */
 export const WATCH_TIMEOUT_MS = 3_000;
--- a/src/directory/held-backends.ts
+++ b/src/directory/held-backends.ts
@@ -5,7 +5,11 @@
 import type { BackendRecord, BackendRegistration } from './backend-registration.js';
 import type { BackendChanges, BackendNews } from './backend-news.js';
 import { unpackNews } from './packed-news.js';
-import { NO_SILENCE_KNOWN, type SilenceChanges, type SilenceVersion } from './silence-board.js';
+import {
+  NO_SILENCE_KNOWN,
+  type SilenceChanges,
+  type SilenceVersion,
+} from './silent-backend-tracker.js';
 
 export class HeldBackends {
   /** Log index of the last change that is held; 0 for none. */
--- a/src/directory/messages.ts
+++ b/src/directory/messages.ts
@@ -7,7 +7,7 @@
 import type { RetirementState } from './directory-state-machine.js';
 import type { LoadTotals } from './load-totals.js';
 import type { PackedConfiguration } from './packed-configuration.js';
-import { NO_SILENCE_KNOWN, type SilenceVersion } from './silence-board.js';
+import { NO_SILENCE_KNOWN, type SilenceVersion } from './silent-backend-tracker.js';
 
 export const DIRECTORY_GROUP = 'directory';
 
--- a/src/directory/silence-board.ts
+++ b/src/directory/silent-backend-tracker.ts
@@ -22,7 +22,7 @@
 
 export const NO_SILENCE_KNOWN: SilenceVersion = { term: 0, count: 0 };
 
-export class SilenceBoard {
+export class SilentBackendTracker {
   private silent: ReadonlySet<string> = new Set();
   private count = 1;
   private readonly history = new ChangeHistory();
