--- a/src/directory/answer-turns.test.ts
+++ b/src/directory/answer-turns.test.ts
@@ -8,7 +8,7 @@
 import { CommittingDirectory } from '../../tests/support/committing-directory.js';
 import { type KnownVersions, NOTHING_KNOWN } from './messages.js';
 import { unpackNews } from './packed-news.js';
-import type { SilenceChanges } from './silent-backend-tracker.js';
+import type { SilenceDelta } from './silent-backend-tracker.js';
 
 const WATCHERS = 90;
 const MOST_ANSWERS_A_TURN = 8;
@@ -52,7 +52,7 @@
   const first = await watch(names[0]!, NOTHING_KNOWN, true);
   const known: KnownVersions = {
     ...NOTHING_KNOWN,
-    silence: unpackNews<SilenceChanges>(first.silence!).version,
+    silence: unpackNews<SilenceDelta>(first.silence!).version,
     cluster: first.cluster!.version,
   };
 
--- a/src/directory/backend-news.test.ts
+++ b/src/directory/backend-news.test.ts
@@ -12,7 +12,7 @@
 import { unpackNews } from './packed-news.js';
 import {
   SilentBackendTracker,
-  type SilenceChanges,
+  type SilenceDelta,
   type SilenceVersion,
 } from './silent-backend-tracker.js';
 
@@ -180,14 +180,14 @@
     this.board.update(new Set(registered.map((which) => backendOf(which, 1, 'ready').id)));
   }
 
-  ask(): SilenceChanges | undefined {
+  ask(): SilenceDelta | undefined {
     if (!this.board.hasNewsFor(this.held.silence, this.term)) return undefined;
-    const changes = unpackNews<SilenceChanges>(this.board.newsAfter(this.held.silence, this.term));
+    const changes = unpackNews<SilenceDelta>(this.board.newsAfter(this.held.silence, this.term));
     this.states.set(keyOf(changes.version), this.leaderText());
     return changes;
   }
 
-  take(changes: SilenceChanges): void {
+  take(changes: SilenceDelta): void {
     this.held.takeSilence(changes);
     expect(this.heldText()).toBe(this.states.get(keyOf(this.held.silence)));
   }
@@ -270,7 +270,7 @@
     fc.assert(
       fc.property(fc.array(update, { maxLength: 60 }), (updates) => {
         const silence = new FollowedSilence();
-        const answers: SilenceChanges[] = [];
+        const answers: SilenceDelta[] = [];
         for (const { silent, begins, fate, late } of updates) {
           if (begins) silence.beginTerm();
           silence.update(silent);
--- a/src/directory/directory-leader.test.ts
+++ b/src/directory/directory-leader.test.ts
@@ -12,7 +12,7 @@
 } from './messages.js';
 import { unpackRoutes, unpackSource } from './packed-configuration.js';
 import { unpackNews } from './packed-news.js';
-import type { SilenceChanges } from './silent-backend-tracker.js';
+import type { SilenceDelta } from './silent-backend-tracker.js';
 
 const HERD_SIZE = 200;
 const HERD_WINDOW_MS = 700;
@@ -105,7 +105,7 @@
     const first = await committing.leader.watch(watchOf('gateway'));
     const known = {
       ...NOTHING_KNOWN,
-      silence: unpackNews<SilenceChanges>(first.silence!).version,
+      silence: unpackNews<SilenceDelta>(first.silence!).version,
       cluster: first.cluster!.version,
     };
     const held = committing.leader.watch({ ...watchOf('gateway'), known, isUrgent: false });
--- a/src/directory/directory-watcher.ts
+++ b/src/directory/directory-watcher.ts
@@ -21,7 +21,7 @@
 import { othersOf } from './load-totals.js';
 import { unpackRoutes } from './packed-configuration.js';
 import { unpackNews } from './packed-news.js';
-import type { SilenceChanges } from './silent-backend-tracker.js';
+import type { SilenceDelta } from './silent-backend-tracker.js';
 
 /** The answer of a leader that is behind is waited for so long, in milliseconds. */
 export const WATCH_TIMEOUT_MS = 3_000;
@@ -192,7 +192,7 @@
   private takeBackends({ backends, silence }: DirectoryView): void {
     if (!backends && !silence) return;
     if (backends) this.backends.take(backends);
-    if (silence) this.backends.takeSilence(unpackNews<SilenceChanges>(silence));
+    if (silence) this.backends.takeSilence(unpackNews<SilenceDelta>(silence));
     this.options.onBackends?.(this.backends.records());
   }
 
--- a/src/directory/held-backends.ts
+++ b/src/directory/held-backends.ts
@@ -7,7 +7,7 @@
 import { unpackNews } from './packed-news.js';
 import {
   NO_SILENCE_KNOWN,
-  type SilenceChanges,
+  type SilenceDelta,
   type SilenceVersion,
 } from './silent-backend-tracker.js';
 
@@ -31,7 +31,7 @@
   }
 
   /** Takes what the same leader, or a later one, tells of silent back ends. */
-  takeSilence({ afterCount, version, silent, heard }: SilenceChanges): void {
+  takeSilence({ afterCount, version, silent, heard }: SilenceDelta): void {
     if (version.term < this.silence.term) return;
     const isWhole = afterCount === undefined;
     const follows = version.term === this.silence.term && afterCount === this.silence.count;
--- a/src/directory/silent-backend-tracker.ts
+++ b/src/directory/silent-backend-tracker.ts
@@ -10,7 +10,7 @@
 }
 
 /** How the silent back ends of a later version differ from those of an earlier one. */
-export interface SilenceChanges {
+export interface SilenceDelta {
   /** Count of the same leader that they follow on; absent where `silent` names all. */
   afterCount?: number;
   version: SilenceVersion;
@@ -68,7 +68,7 @@
     return packed;
   }
 
-  private changesAfter(held: SilenceVersion, term: number): SilenceChanges {
+  private changesAfter(held: SilenceVersion, term: number): SilenceDelta {
     const version = { term, count: this.count };
     const changed = held.term === term ? this.history.changedAfter(held.count) : undefined;
     if (!changed) return { version, silent: [...this.silent], heard: [] };
