--- a/src/directory/held-backends.ts
+++ b/src/directory/held-backends.ts
@@ -6,7 +6,7 @@
 import type { BackendChanges, BackendNews } from './backend-news.js';
 import { unpackNews } from './packed-news.js';
 import {
-  NO_SILENCE_KNOWN,
+  INITIAL_SILENCE_VERSION,
   type SilenceDelta,
   type SilenceVersion,
 } from './silent-backend-tracker.js';
@@ -15,7 +15,7 @@
   /** Log index of the last change that is held; 0 for none. */
   index = 0;
   /** Of the silent back ends that are held. */
-  silence: SilenceVersion = NO_SILENCE_KNOWN;
+  silence: SilenceVersion = INITIAL_SILENCE_VERSION;
   private byId = new Map<string, BackendRecord>();
   /** Back ends whose heartbeats were missing when a leader last told of them. */
   private silent = new Set<string>();
--- a/src/directory/messages.ts
+++ b/src/directory/messages.ts
@@ -7,7 +7,7 @@
 import type { RetirementState } from './directory-state-machine.js';
 import type { LoadTotals } from './load-totals.js';
 import type { PackedConfiguration } from './packed-configuration.js';
-import { NO_SILENCE_KNOWN, type SilenceVersion } from './silent-backend-tracker.js';
+import { INITIAL_SILENCE_VERSION, type SilenceVersion } from './silent-backend-tracker.js';
 
 export const DIRECTORY_GROUP = 'directory';
 
@@ -45,7 +45,7 @@
 export const NOTHING_KNOWN: KnownVersions = {
   configuration: 0,
   backendsIndex: 0,
-  silence: NO_SILENCE_KNOWN,
+  silence: INITIAL_SILENCE_VERSION,
   cluster: '',
 };
 
--- a/src/directory/silent-backend-tracker.ts
+++ b/src/directory/silent-backend-tracker.ts
@@ -20,7 +20,7 @@
   heard: string[];
 }
 
-export const NO_SILENCE_KNOWN: SilenceVersion = { term: 0, count: 0 };
+export const INITIAL_SILENCE_VERSION: SilenceVersion = { term: 0, count: 0 };
 
 export class SilentBackendTracker {
   private silent: ReadonlySet<string> = new Set();
