--- a/src/directory/answer-turns.test.ts
+++ b/src/directory/answer-turns.test.ts
@@ -6,7 +6,7 @@
  */
 import { expect, it, onTestFinished } from 'vitest';
 import { CommittingDirectory } from '../../tests/support/committing-directory.js';
-import { type KnownVersions, NOTHING_KNOWN } from './messages.js';
+import { type KnownVersions, INITIAL_KNOWN_VERSIONS } from './messages.js';
 import { unpackNews } from './packed-news.js';
 import type { SilenceDelta } from './silent-backend-tracker.js';
 
@@ -48,10 +48,10 @@
       loads: [],
     });
   const names = Array.from({ length: WATCHERS }, (_, index) => `gateway-${index}`);
-  for (const name of names) await watch(name, NOTHING_KNOWN, true);
-  const first = await watch(names[0]!, NOTHING_KNOWN, true);
+  for (const name of names) await watch(name, INITIAL_KNOWN_VERSIONS, true);
+  const first = await watch(names[0]!, INITIAL_KNOWN_VERSIONS, true);
   const known: KnownVersions = {
-    ...NOTHING_KNOWN,
+    ...INITIAL_KNOWN_VERSIONS,
     silence: unpackNews<SilenceDelta>(first.silence!).version,
     cluster: first.cluster!.version,
   };
--- a/src/directory/certain-age.test.ts
+++ b/src/directory/certain-age.test.ts
@@ -6,11 +6,11 @@
 import { createLogger } from '../observability/index.js';
 import type { DirectoryClient } from './directory-client.js';
 import { DirectoryWatcher } from './directory-watcher.js';
-import { type DirectoryView, NOTHING_KNOWN, type WatchRequest } from './messages.js';
+import { type DirectoryView, INITIAL_KNOWN_VERSIONS, type WatchRequest } from './messages.js';
 
 const LEFT_FOR_MS = 2_000;
 const node = { name: 'gateway-1', role: 'gateway' as const, address: 'a:1', zone: 'z' };
-const request: WatchRequest = { node, known: NOTHING_KNOWN, isUrgent: true, loads: [] };
+const request: WatchRequest = { node, known: INITIAL_KNOWN_VERSIONS, isUrgent: true, loads: [] };
 
 it('a leader says for how long no majority has answered it, standstills included', async () => {
   const directory = new CommittingDirectory();
--- a/src/directory/confirmed-acknowledgement.test.ts
+++ b/src/directory/confirmed-acknowledgement.test.ts
@@ -11,7 +11,7 @@
 import { sampleRegistration } from '../../tests/support/directory-samples.js';
 import { sleep } from '../common/index.js';
 import { HeldBackends } from './held-backends.js';
-import { type DirectoryView, NOTHING_KNOWN } from './messages.js';
+import { type DirectoryView, INITIAL_KNOWN_VERSIONS } from './messages.js';
 import { unpackNews } from './packed-news.js';
 
 /** An order must be answered within this time whatever gateways do, in milliseconds. */
@@ -19,7 +19,7 @@
 const GATEWAY_DELAY_MS = 150;
 
 class Gateway {
-  private known = NOTHING_KNOWN;
+  private known = INITIAL_KNOWN_VERSIONS;
   private readonly backends = new HeldBackends();
 
   constructor(
--- a/src/directory/directory-leader.test.ts
+++ b/src/directory/directory-leader.test.ts
@@ -6,7 +6,7 @@
 import { HeldBackends } from './held-backends.js';
 import {
   type NodeAnnouncement,
-  NOTHING_KNOWN,
+  INITIAL_KNOWN_VERSIONS,
   type NodeRole,
   type WatchRequest,
 } from './messages.js';
@@ -32,7 +32,7 @@
 function watchOf(role: NodeRole): WatchRequest {
   return {
     node: { name: role, role, address: 'a:1', zone: 'z' },
-    known: NOTHING_KNOWN,
+    known: INITIAL_KNOWN_VERSIONS,
     isUrgent: true,
     loads: [],
   };
@@ -104,7 +104,7 @@
     const committing = new CommittingDirectory();
     const first = await committing.leader.watch(watchOf('gateway'));
     const known = {
-      ...NOTHING_KNOWN,
+      ...INITIAL_KNOWN_VERSIONS,
       silence: unpackNews<SilenceDelta>(first.silence!).version,
       cluster: first.cluster!.version,
     };
--- a/src/directory/messages.ts
+++ b/src/directory/messages.ts
@@ -42,7 +42,7 @@
 }
 
 /** Of a process that starts. */
-export const NOTHING_KNOWN: KnownVersions = {
+export const INITIAL_KNOWN_VERSIONS: KnownVersions = {
   configuration: 0,
   backendsIndex: 0,
   silence: INITIAL_SILENCE_VERSION,
--- a/src/directory/news-pacing.test.ts
+++ b/src/directory/news-pacing.test.ts
@@ -4,7 +4,7 @@
 import { sampleRegistration } from '../../tests/support/directory-samples.js';
 import type { BackendRegistration } from './backend-registration.js';
 import { HeldBackends } from './held-backends.js';
-import { NOTHING_KNOWN } from './messages.js';
+import { INITIAL_KNOWN_VERSIONS } from './messages.js';
 import { unpackNews } from './packed-news.js';
 
 const BACKENDS = 300;
@@ -40,7 +40,7 @@
     const { index: backendsIndex, silence } = this.held;
     const view = await this.directory.leader.watch({
       node: { name: 'gateway-1', role: 'gateway', address: 'g:1', zone: 'z' },
-      known: { ...NOTHING_KNOWN, backendsIndex, silence, cluster: this.cluster },
+      known: { ...INITIAL_KNOWN_VERSIONS, backendsIndex, silence, cluster: this.cluster },
       isUrgent,
       loads: [],
     });
