--- a/src/directory/answer-turns.test.ts
+++ b/src/directory/answer-turns.test.ts
@@ -7,7 +7,7 @@
 import { expect, it, onTestFinished } from 'vitest';
 import { CommittingDirectory } from '../../tests/support/committing-directory.js';
 import { type KnownVersions, INITIAL_KNOWN_VERSIONS } from './messages.js';
-import { unpackNews } from './packed-news.js';
+import { unpackJson } from './packed-json.js';
 import type { SilenceDelta } from './silent-backend-tracker.js';
 
 const WATCHERS = 90;
@@ -52,7 +52,7 @@
   const first = await watch(names[0]!, INITIAL_KNOWN_VERSIONS, true);
   const known: KnownVersions = {
     ...INITIAL_KNOWN_VERSIONS,
-    silence: unpackNews<SilenceDelta>(first.silence!).version,
+    silence: unpackJson<SilenceDelta>(first.silence!).version,
     cluster: first.cluster!.version,
   };
 
--- a/src/directory/backend-news.test.ts
+++ b/src/directory/backend-news.test.ts
@@ -9,7 +9,7 @@
 import type { DirectoryCommand } from './directory-commands.js';
 import { DirectoryStateMachine } from './directory-state-machine.js';
 import { HeldBackends } from './held-backends.js';
-import { unpackNews } from './packed-news.js';
+import { unpackJson } from './packed-json.js';
 import {
   SilentBackendTracker,
   type SilenceDelta,
@@ -182,7 +182,7 @@
 
   ask(): SilenceDelta | undefined {
     if (!this.board.hasNewsFor(this.held.silence, this.term)) return undefined;
-    const changes = unpackNews<SilenceDelta>(this.board.newsAfter(this.held.silence, this.term));
+    const changes = unpackJson<SilenceDelta>(this.board.newsAfter(this.held.silence, this.term));
     this.states.set(keyOf(changes.version), this.leaderText());
     return changes;
   }
@@ -247,15 +247,15 @@
 
     earlier.update(new Set(['i-0@1']));
     const ofEarlier = earlier.newsAfter(held.silence, 1);
-    held.takeSilence(unpackNews(ofEarlier));
+    held.takeSilence(unpackJson(ofEarlier));
     expect(silentIds()).toEqual(['i-0@1']);
     // The same count of another leader stands for something else.
     later.update(new Set(['i-1@1']));
     expect(later.hasNewsFor(held.silence, 2)).toBe(true);
-    held.takeSilence(unpackNews(later.newsAfter(held.silence, 2)));
+    held.takeSilence(unpackJson(later.newsAfter(held.silence, 2)));
     expect(silentIds()).toEqual(['i-1@1']);
     // An answer of the deposed one comes late, and it has no more to tell.
-    held.takeSilence(unpackNews(ofEarlier));
+    held.takeSilence(unpackJson(ofEarlier));
     expect(silentIds()).toEqual(['i-1@1']);
     expect(earlier.hasNewsFor(held.silence, 1)).toBe(false);
   });
--- a/src/directory/backend-news.ts
+++ b/src/directory/backend-news.ts
@@ -1,6 +1,6 @@
 /** Tells those who follow the directory what has changed among the back ends since what they hold. */
 import type { BackendRegistration } from './backend-registration.js';
-import { packNews } from './packed-news.js';
+import { packJson } from './packed-json.js';
 
 /** How the back ends of a later log index differ from those of an earlier one. */
 export interface BackendChanges {
@@ -68,7 +68,7 @@
   private packList(): Uint8Array {
     const { backends, backendsIndex: index } = this.history;
     const list: BackendChanges = { index, changed: [...backends.values()], gone: [] };
-    return packNews(list);
+    return packJson(list);
   }
 
   private changesAfter(index: number): Uint8Array | undefined {
@@ -78,7 +78,7 @@
     if (packed) return packed;
     const changes = this.history.backendChangesAfter(index);
     if (!changes) return undefined;
-    const fresh = packNews(changes);
+    const fresh = packJson(changes);
     this.changes.set(index, fresh);
     return fresh;
   }
--- a/src/directory/confirmed-acknowledgement.test.ts
+++ b/src/directory/confirmed-acknowledgement.test.ts
@@ -12,7 +12,7 @@
 import { sleep } from '../common/index.js';
 import { HeldBackends } from './held-backends.js';
 import { type DirectoryView, INITIAL_KNOWN_VERSIONS } from './messages.js';
-import { unpackNews } from './packed-news.js';
+import { unpackJson } from './packed-json.js';
 
 /** An order must be answered within this time whatever gateways do, in milliseconds. */
 const LONGEST_WAIT_MS = 1_300;
@@ -36,7 +36,7 @@
       loads: [],
     });
     if (view.backends) this.backends.take(view.backends);
-    if (view.silence) this.backends.takeSilence(unpackNews(view.silence));
+    if (view.silence) this.backends.takeSilence(unpackJson(view.silence));
     this.known = {
       configuration: view.configuration?.index ?? this.known.configuration,
       backendsIndex: this.backends.index,
--- a/src/directory/directory-leader.test.ts
+++ b/src/directory/directory-leader.test.ts
@@ -11,7 +11,7 @@
   type WatchRequest,
 } from './messages.js';
 import { unpackRoutes, unpackSource } from './packed-configuration.js';
-import { unpackNews } from './packed-news.js';
+import { unpackJson } from './packed-json.js';
 import type { SilenceDelta } from './silent-backend-tracker.js';
 
 const HERD_SIZE = 200;
@@ -105,7 +105,7 @@
     const first = await committing.leader.watch(watchOf('gateway'));
     const known = {
       ...INITIAL_KNOWN_VERSIONS,
-      silence: unpackNews<SilenceDelta>(first.silence!).version,
+      silence: unpackJson<SilenceDelta>(first.silence!).version,
       cluster: first.cluster!.version,
     };
     const held = committing.leader.watch({ ...watchOf('gateway'), known, isUrgent: false });
--- a/src/directory/directory-watcher.ts
+++ b/src/directory/directory-watcher.ts
@@ -20,7 +20,7 @@
 } from './messages.js';
 import { othersOf } from './load-totals.js';
 import { unpackRoutes } from './packed-configuration.js';
-import { unpackNews } from './packed-news.js';
+import { unpackJson } from './packed-json.js';
 import type { SilenceDelta } from './silent-backend-tracker.js';
 
 /** The answer of a leader that is behind is waited for so long, in milliseconds. */
@@ -192,7 +192,7 @@
   private takeBackends({ backends, silence }: DirectoryView): void {
     if (!backends && !silence) return;
     if (backends) this.backends.take(backends);
-    if (silence) this.backends.takeSilence(unpackNews<SilenceDelta>(silence));
+    if (silence) this.backends.takeSilence(unpackJson<SilenceDelta>(silence));
     this.options.onBackends?.(this.backends.records());
   }
 
--- a/src/directory/held-backends.ts
+++ b/src/directory/held-backends.ts
@@ -4,7 +4,7 @@
  */
 import type { BackendRecord, BackendRegistration } from './backend-registration.js';
 import type { BackendChanges, BackendNews } from './backend-news.js';
-import { unpackNews } from './packed-news.js';
+import { unpackJson } from './packed-json.js';
 import {
   INITIAL_SILENCE_VERSION,
   type SilenceDelta,
@@ -27,7 +27,7 @@
   /** Takes what is newer than what is held. */
   take(news: BackendNews): void {
     if (news.index <= this.index) return;
-    for (const piece of news.pieces) this.takeChanges(unpackNews<BackendChanges>(piece));
+    for (const piece of news.pieces) this.takeChanges(unpackJson<BackendChanges>(piece));
   }
 
   /** Takes what the same leader, or a later one, tells of silent back ends. */
--- a/src/directory/news-pacing.test.ts
+++ b/src/directory/news-pacing.test.ts
@@ -5,7 +5,7 @@
 import type { BackendRegistration } from './backend-registration.js';
 import { HeldBackends } from './held-backends.js';
 import { INITIAL_KNOWN_VERSIONS } from './messages.js';
-import { unpackNews } from './packed-news.js';
+import { unpackJson } from './packed-json.js';
 
 const BACKENDS = 300;
 /** Between two back ends that register, in milliseconds. */
@@ -46,7 +46,7 @@
     });
     if (view.backends && view.backends.index > backendsIndex) this.answers += 1;
     if (view.backends) this.held.take(view.backends);
-    if (view.silence) this.held.takeSilence(unpackNews(view.silence));
+    if (view.silence) this.held.takeSilence(unpackJson(view.silence));
     this.cluster = view.cluster?.version ?? this.cluster;
   }
 }
--- a/src/directory/packed-news.ts
+++ b/src/directory/packed-json.ts
@@ -7,11 +7,11 @@
 /** The fastest level: entries of a list resemble each other, so it already shrinks them severalfold. */
 const DEFLATE_LEVEL = 1;
 
-export function packNews(news: unknown): Uint8Array {
+export function packJson(news: unknown): Uint8Array {
   return deflateRawSync(JSON.stringify(news), { level: DEFLATE_LEVEL });
 }
 
 /** Unpacks what `packNews` packed. The caller names the type it agreed on with the writer. */
-export function unpackNews<News>(packed: Uint8Array): News {
+export function unpackJson<News>(packed: Uint8Array): News {
   return JSON.parse(inflateRawSync(packed).toString('utf8')) as News;
 }
--- a/src/directory/silent-backend-tracker.ts
+++ b/src/directory/silent-backend-tracker.ts
@@ -1,6 +1,6 @@
 /** Back ends whose heartbeats are missing, as one leader knows it, with a count of the changes. */
 import { ChangeHistory } from './change-history.js';
-import { packNews } from './packed-news.js';
+import { packJson } from './packed-json.js';
 
 /** Counts of different leaders say nothing of each other: their terms tell them apart. */
 export interface SilenceVersion {
@@ -63,7 +63,7 @@
   /** Packed `SilenceChanges`. */
   newsAfter(held: SilenceVersion, term: number): Uint8Array {
     const key = held.term === term ? `${term}.${held.count}` : `${term}`;
-    const packed = this.packed.get(key) ?? packNews(this.changesAfter(held, term));
+    const packed = this.packed.get(key) ?? packJson(this.changesAfter(held, term));
     this.packed.set(key, packed);
     return packed;
   }
--- a/src/directory/silent-members.test.ts
+++ b/src/directory/silent-members.test.ts
@@ -12,7 +12,7 @@
 import { DirectoryClient } from './directory-client.js';
 import { DirectoryWatcher } from './directory-watcher.js';
 import { COMMITTED_NEWS, WATCH } from './messages.js';
-import { packNews } from './packed-news.js';
+import { packJson } from './packed-json.js';
 
 const TRIES = 40;
 /** Tries begin at different moments of a watcher's questions, this far apart, in milliseconds. */
@@ -38,7 +38,7 @@
     if (address !== 'holder') await this.speak(options);
     if (method.name === COMMITTED_NEWS.name) {
       const list: BackendChanges = { index: 50, changed: [], gone: [] };
-      return { backends: { index: 50, pieces: [packNews(list)] } } as Response;
+      return { backends: { index: 50, pieces: [packJson(list)] } } as Response;
     }
     if (method.name !== WATCH.name || address !== 'leader') {
       return { leaderAddress: 'leader', refusal: 'not the leader' } as Response;
