--- a/src/directory/backend-news.ts
+++ b/src/directory/backend-news.ts
@@ -14,7 +14,7 @@
 }
 
 /** Packed `BackendChanges`, to be taken in their order. */
-export interface BackendNews {
+export interface BackendUpdate {
   /** Log index that they lead to. */
   index: number;
   pieces: Uint8Array[];
@@ -46,7 +46,7 @@
   constructor(private readonly history: BackendHistory) {}
 
   /** @param heldIndex log index of what the asker holds; 0 for nothing */
-  newsAfter(heldIndex: number): BackendNews {
+  newsAfter(heldIndex: number): BackendUpdate {
     const { backendsIndex: index } = this.history;
     const changes = heldIndex > 0 ? this.changesAfter(heldIndex) : undefined;
     return { index, pieces: changes ? [changes] : this.wholeList() };
--- a/src/directory/held-backends.ts
+++ b/src/directory/held-backends.ts
@@ -3,7 +3,7 @@
  * and never older than what was held before.
  */
 import type { BackendRecord, BackendRegistration } from './backend-registration.js';
-import type { BackendChanges, BackendNews } from './backend-news.js';
+import type { BackendChanges, BackendUpdate } from './backend-news.js';
 import { unpackJson } from './packed-json.js';
 import {
   INITIAL_SILENCE_VERSION,
@@ -25,7 +25,7 @@
   }
 
   /** Takes what is newer than what is held. */
-  take(news: BackendNews): void {
+  take(news: BackendUpdate): void {
     if (news.index <= this.index) return;
     for (const piece of news.pieces) this.takeChanges(unpackJson<BackendChanges>(piece));
   }
--- a/src/directory/messages.ts
+++ b/src/directory/messages.ts
@@ -1,7 +1,7 @@
 /** Messages between the directory's leader and the processes that follow it. */
 import type { LeaderAnswer, Member } from '../consensus/index.js';
 import { defineMethod } from '../wire/index.js';
-import type { BackendNews } from './backend-news.js';
+import type { BackendUpdate } from './backend-news.js';
 import type { BackendRegistration } from './backend-registration.js';
 import type { Incarnation } from './incarnation.js';
 import type { RetirementState } from './directory-state-machine.js';
@@ -84,13 +84,13 @@
 /** What one member has applied after what the sender holds; any member tells it, also one that lags. */
 export interface CommittedNews {
   configuration?: ConfigurationView;
-  backends?: BackendNews;
+  backends?: BackendUpdate;
 }
 
 /** The parts of the directory that are newer than what the watcher holds. */
 export interface DirectoryView {
   configuration?: ConfigurationView;
-  backends?: BackendNews;
+  backends?: BackendUpdate;
   /** Packed `SilenceChanges`. */
   silence?: Uint8Array;
   cluster?: ClusterView;
