--- a/src/directory/backend-news.ts
+++ b/src/directory/backend-news.ts
@@ -3,7 +3,7 @@
 import { packJson } from './packed-json.js';
 
 /** How the back ends of a later log index differ from those of an earlier one. */
-export interface BackendChanges {
+export interface BackendDelta {
   /** Log index that they follow on; absent where `changed` is the whole list. */
   afterIndex?: number;
   /** Log index that they lead to. */
@@ -26,7 +26,7 @@
   readonly backendsIndex: number;
   readonly backends: ReadonlyMap<string, BackendRegistration>;
   /** Changes behind an index; nothing when they aren't known any more. */
-  backendChangesAfter(index: number): BackendChanges | undefined;
+  backendChangesAfter(index: number): BackendDelta | undefined;
 }
 
 /** With more changes behind it, a packed list costs those who need one more than a new one costs the sender. */
@@ -67,7 +67,7 @@
 
   private packList(): Uint8Array {
     const { backends, backendsIndex: index } = this.history;
-    const list: BackendChanges = { index, changed: [...backends.values()], gone: [] };
+    const list: BackendDelta = { index, changed: [...backends.values()], gone: [] };
     return packJson(list);
   }
 
--- a/src/directory/directory-state-machine.ts
+++ b/src/directory/directory-state-machine.ts
@@ -4,7 +4,7 @@
  */
 import type { Member, StateMachine } from '../consensus/index.js';
 import { decodeValue, encodeValue } from '../wire/index.js';
-import { type BackendChanges, type BackendHistory, BackendNewsSource } from './backend-news.js';
+import { type BackendDelta, type BackendHistory, BackendNewsSource } from './backend-news.js';
 import type { BackendRegistration } from './backend-registration.js';
 import { ChangeHistory } from './change-history.js';
 import type { DirectoryCommand, DirectoryResult } from './directory-commands.js';
@@ -93,11 +93,11 @@
     return this.state.backendsIndex;
   }
 
-  backendChangesAfter(afterIndex: number): BackendChanges | undefined {
+  backendChangesAfter(afterIndex: number): BackendDelta | undefined {
     const ids = this.backendHistory.changedAfter(afterIndex);
     if (!ids) return undefined;
     const { backends, backendsIndex: index } = this.state;
-    const changes: BackendChanges = { afterIndex, index, changed: [], gone: [] };
+    const changes: BackendDelta = { afterIndex, index, changed: [], gone: [] };
     for (const id of ids) {
       const backend = backends.get(id);
       if (backend) changes.changed.push(backend);
--- a/src/directory/held-backends.ts
+++ b/src/directory/held-backends.ts
@@ -3,7 +3,7 @@
  * and never older than what was held before.
  */
 import type { BackendRecord, BackendRegistration } from './backend-registration.js';
-import type { BackendChanges, BackendUpdate } from './backend-news.js';
+import type { BackendDelta, BackendUpdate } from './backend-news.js';
 import { unpackJson } from './packed-json.js';
 import {
   INITIAL_SILENCE_VERSION,
@@ -27,7 +27,7 @@
   /** Takes what is newer than what is held. */
   take(news: BackendUpdate): void {
     if (news.index <= this.index) return;
-    for (const piece of news.pieces) this.takeChanges(unpackJson<BackendChanges>(piece));
+    for (const piece of news.pieces) this.takeChanges(unpackJson<BackendDelta>(piece));
   }
 
   /** Takes what the same leader, or a later one, tells of silent back ends. */
@@ -43,7 +43,7 @@
     this.silence = version;
   }
 
-  private takeChanges({ afterIndex, index, changed, gone }: BackendChanges): void {
+  private takeChanges({ afterIndex, index, changed, gone }: BackendDelta): void {
     if (afterIndex === undefined) this.byId = new Map();
     // What follows on an earlier index holds the latest of all that changed since: another member may have told a part.
     else if (afterIndex > this.index) return;
--- a/src/directory/silent-members.test.ts
+++ b/src/directory/silent-members.test.ts
@@ -8,7 +8,7 @@
 import { GroupClient, type PeerCaller } from '../consensus/index.js';
 import { createLogger } from '../observability/index.js';
 import type { CallOptions, Method } from '../wire/index.js';
-import type { BackendChanges } from './backend-news.js';
+import type { BackendDelta } from './backend-news.js';
 import { DirectoryClient } from './directory-client.js';
 import { DirectoryWatcher } from './directory-watcher.js';
 import { COMMITTED_NEWS, WATCH } from './messages.js';
@@ -37,7 +37,7 @@
   ): Promise<Response> {
     if (address !== 'holder') await this.speak(options);
     if (method.name === COMMITTED_NEWS.name) {
-      const list: BackendChanges = { index: 50, changed: [], gone: [] };
+      const list: BackendDelta = { index: 50, changed: [], gone: [] };
       return { backends: { index: 50, pieces: [packJson(list)] } } as Response;
     }
     if (method.name !== WATCH.name || address !== 'leader') {
