--- a/src/directory/backend-news.test.ts
+++ b/src/directory/backend-updates.test.ts
@@ -3,7 +3,7 @@
 import { describe, expect, it } from 'vitest';
 import { sampleRegistration } from '../../tests/support/directory-samples.js';
 import { encodeValue } from '../wire/index.js';
-import type { BackendUpdate } from './backend-news.js';
+import type { BackendUpdate } from './backend-updates.js';
 import type { BackendRegistration } from './backend-registration.js';
 import { ChangeHistory } from './change-history.js';
 import type { DirectoryCommand } from './directory-commands.js';
--- a/src/directory/backend-news.ts
+++ b/src/directory/backend-updates.ts
@@ -37,7 +37,7 @@
   packed: Uint8Array;
 }
 
-export class BackendNewsSource {
+export class BackendUpdateSource {
   private list: PackedList | undefined;
   /** Packed changes up to the latest, by the index that they follow on. */
   private readonly changes = new Map<number, Uint8Array>();
--- a/src/directory/directory-state-machine.ts
+++ b/src/directory/directory-state-machine.ts
@@ -4,7 +4,7 @@
  */
 import type { Member, StateMachine } from '../consensus/index.js';
 import { decodeValue, encodeValue } from '../wire/index.js';
-import { type BackendDelta, type BackendHistory, BackendNewsSource } from './backend-news.js';
+import { type BackendDelta, type BackendHistory, BackendUpdateSource } from './backend-updates.js';
 import type { BackendRegistration } from './backend-registration.js';
 import { ChangeHistory } from './change-history.js';
 import type { DirectoryCommand, DirectoryResult } from './directory-commands.js';
@@ -63,7 +63,7 @@
 
 export class DirectoryStateMachine implements StateMachine, BackendHistory {
   /** Packed for those who follow the directory. */
-  readonly backendNews = new BackendNewsSource(this);
+  readonly backendNews = new BackendUpdateSource(this);
   private state: DirectoryState = emptyState();
 
   /**
--- a/src/directory/held-backends.ts
+++ b/src/directory/held-backends.ts
@@ -3,7 +3,7 @@
  * and never older than what was held before.
  */
 import type { BackendRecord, BackendRegistration } from './backend-registration.js';
-import type { BackendDelta, BackendUpdate } from './backend-news.js';
+import type { BackendDelta, BackendUpdate } from './backend-updates.js';
 import { unpackJson } from './packed-json.js';
 import {
   INITIAL_SILENCE_VERSION,
--- a/src/directory/messages.ts
+++ b/src/directory/messages.ts
@@ -1,7 +1,7 @@
 /** Messages between the directory's leader and the processes that follow it. */
 import type { LeaderAnswer, Member } from '../consensus/index.js';
 import { defineMethod } from '../wire/index.js';
-import type { BackendUpdate } from './backend-news.js';
+import type { BackendUpdate } from './backend-updates.js';
 import type { BackendRegistration } from './backend-registration.js';
 import type { Incarnation } from './incarnation.js';
 import type { RetirementState } from './directory-state-machine.js';
--- a/src/directory/silent-members.test.ts
+++ b/src/directory/silent-members.test.ts
@@ -8,7 +8,7 @@
 import { GroupClient, type PeerCaller } from '../consensus/index.js';
 import { createLogger } from '../observability/index.js';
 import type { CallOptions, Method } from '../wire/index.js';
-import type { BackendDelta } from './backend-news.js';
+import type { BackendDelta } from './backend-updates.js';
 import { DirectoryClient } from './directory-client.js';
 import { DirectoryWatcher } from './directory-watcher.js';
 import { COMMITTED_NEWS, WATCH } from './messages.js';
