--- a/src/directory/backend-updates.test.ts
+++ b/src/directory/backend-updates.test.ts
@@ -75,8 +75,8 @@
 
   ask(follower: number, member: number): void {
     const { index } = this.followers[follower]!;
-    const { backendsIndex, backendNews } = this.members[member]!;
-    if (backendsIndex > index) this.open.push({ follower, news: backendNews.newsAfter(index) });
+    const { backendsIndex, backendUpdates: backendNews } = this.members[member]!;
+    if (backendsIndex > index) this.open.push({ follower, news: backendNews.updateSince(index) });
   }
 
   deliver({ follower, news }: Answer): void {
@@ -167,7 +167,7 @@
     for (let which = 0; which < NAMES - 1; which += 1) {
       directory.commit({ kind: 'register-backend', registration: backendOf(which, 1, 'ready') });
     }
-    this.held.take(directory.members[0]!.backendNews.newsAfter(0));
+    this.held.take(directory.members[0]!.backendUpdates.updateSince(0));
   }
 
   beginTerm(): void {
@@ -181,8 +181,8 @@
   }
 
   ask(): SilenceDelta | undefined {
-    if (!this.board.hasNewsFor(this.held.silence, this.term)) return undefined;
-    const changes = unpackJson<SilenceDelta>(this.board.newsAfter(this.held.silence, this.term));
+    if (!this.board.hasUpdateFor(this.held.silence, this.term)) return undefined;
+    const changes = unpackJson<SilenceDelta>(this.board.updateSince(this.held.silence, this.term));
     this.states.set(keyOf(changes.version), this.leaderText());
     return changes;
   }
@@ -246,18 +246,18 @@
         .map(({ id }) => id);
 
     earlier.update(new Set(['i-0@1']));
-    const ofEarlier = earlier.newsAfter(held.silence, 1);
+    const ofEarlier = earlier.updateSince(held.silence, 1);
     held.takeSilence(unpackJson(ofEarlier));
     expect(silentIds()).toEqual(['i-0@1']);
     // The same count of another leader stands for something else.
     later.update(new Set(['i-1@1']));
-    expect(later.hasNewsFor(held.silence, 2)).toBe(true);
-    held.takeSilence(unpackJson(later.newsAfter(held.silence, 2)));
+    expect(later.hasUpdateFor(held.silence, 2)).toBe(true);
+    held.takeSilence(unpackJson(later.updateSince(held.silence, 2)));
     expect(silentIds()).toEqual(['i-1@1']);
     // An answer of the deposed one comes late, and it has no more to tell.
     held.takeSilence(unpackJson(ofEarlier));
     expect(silentIds()).toEqual(['i-1@1']);
-    expect(earlier.hasNewsFor(held.silence, 1)).toBe(false);
+    expect(earlier.hasUpdateFor(held.silence, 1)).toBe(false);
   });
 
   it('holds the silent back ends of one version after changes, new terms, lost and late answers', () => {
@@ -293,18 +293,18 @@
     for (const which of [0, 1, 2]) {
       directory.commit({ kind: 'register-backend', registration: backendOf(which, 1, 'ready') });
     }
-    const { backendNews } = directory.members[0]!;
-    directory.deliver({ follower: 0, news: backendNews.newsAfter(1) });
+    const { backendUpdates: backendNews } = directory.members[0]!;
+    directory.deliver({ follower: 0, news: backendNews.updateSince(1) });
     expect(directory.followers[0]!.index).toBe(0);
   });
 
   it('that starts gets a list that was packed for others, and what has changed since', () => {
     const directory = new Directory();
     directory.commit({ kind: 'register-backend', registration: backendOf(0, 1, 'ready') });
-    const { backendNews } = directory.members[0]!;
-    const [list] = backendNews.newsAfter(0).pieces;
+    const { backendUpdates: backendNews } = directory.members[0]!;
+    const [list] = backendNews.updateSince(0).pieces;
     directory.commit({ kind: 'register-backend', registration: backendOf(1, 1, 'ready') });
-    const [first, second] = [backendNews.newsAfter(0), backendNews.newsAfter(0)];
+    const [first, second] = [backendNews.updateSince(0), backendNews.updateSince(0)];
     expect(first.pieces[0]).toBe(list);
     expect(first.pieces).toHaveLength(2);
     expect(second.pieces[1]).toBe(first.pieces[1]);
@@ -316,7 +316,7 @@
     const directory = new Directory();
     directory.commit({ kind: 'register-backend', registration: backendOf(0, 1, 'ready') });
     directory.commit({ kind: 'register-backend', registration: backendOf(1, 1, 'ready') });
-    const { backendNews } = directory.members[0]!;
-    expect(backendNews.newsAfter(1).pieces[0]).toBe(backendNews.newsAfter(1).pieces[0]);
+    const { backendUpdates: backendNews } = directory.members[0]!;
+    expect(backendNews.updateSince(1).pieces[0]).toBe(backendNews.updateSince(1).pieces[0]);
   });
 });
--- a/src/directory/backend-updates.ts
+++ b/src/directory/backend-updates.ts
@@ -46,7 +46,7 @@
   constructor(private readonly history: BackendHistory) {}
 
   /** @param heldIndex log index of what the asker holds; 0 for nothing */
-  newsAfter(heldIndex: number): BackendUpdate {
+  updateSince(heldIndex: number): BackendUpdate {
     const { backendsIndex: index } = this.history;
     const changes = heldIndex > 0 ? this.changesAfter(heldIndex) : undefined;
     return { index, pieces: changes ? [changes] : this.wholeList() };
--- a/src/directory/directory-leader.ts
+++ b/src/directory/directory-leader.ts
@@ -229,7 +229,7 @@
     return (
       this.stateMachine.configurationIndex > known.configuration ||
       this.toldBackendsIndex > known.backendsIndex ||
-      this.silence.hasNewsFor(known.silence, this.term)
+      this.silence.hasUpdateFor(known.silence, this.term)
     );
   }
 
@@ -241,16 +241,21 @@
     // A deposed leader's counts would pass for the next one's: its term is known here already.
     if (leads && this.clusterVersionFor(known)) view.cluster = this.clusterView();
     if (node.role !== 'gateway') return view;
-    const { configuration, configurationIndex: index, backendsIndex, backendNews } = stateMachine;
+    const {
+      configuration,
+      configurationIndex: index,
+      backendsIndex,
+      backendUpdates: backendNews,
+    } = stateMachine;
     if (configuration && index > known.configuration) {
       view.configuration = { index, routes: configuration.routes };
     }
     // One who holds none is told when there are none.
     if (backendsIndex > known.backendsIndex || known.backendsIndex === 0) {
-      view.backends = backendNews.newsAfter(known.backendsIndex);
+      view.backends = backendNews.updateSince(known.backendsIndex);
     }
-    if (leads && this.silence.hasNewsFor(known.silence, this.term)) {
-      view.silence = this.silence.newsAfter(known.silence, this.term);
+    if (leads && this.silence.hasUpdateFor(known.silence, this.term)) {
+      view.silence = this.silence.updateSince(known.silence, this.term);
     }
     return view;
   }
--- a/src/directory/directory-service.ts
+++ b/src/directory/directory-service.ts
@@ -24,7 +24,7 @@
   findGroup: () => ReplicatedGroup | undefined,
 ): void {
   router.handle(WATCH, (request) => answerAsLeader(findGroup(), () => leader.watch(request)));
-  router.handle(COMMITTED_NEWS, (held) => leader.stateMachine.newsSince(held));
+  router.handle(COMMITTED_NEWS, (held) => leader.stateMachine.committedUpdateSince(held));
   router.handle(HEARTBEAT, (registration) =>
     answerAsLeader(findGroup(), async () => {
       await leader.recordHeartbeat(registration);
--- a/src/directory/directory-state-machine.ts
+++ b/src/directory/directory-state-machine.ts
@@ -63,7 +63,7 @@
 
 export class DirectoryStateMachine implements StateMachine, BackendHistory {
   /** Packed for those who follow the directory. */
-  readonly backendNews = new BackendUpdateSource(this);
+  readonly backendUpdates = new BackendUpdateSource(this);
   private state: DirectoryState = emptyState();
 
   /**
@@ -146,14 +146,14 @@
   }
 
   /** What was applied here after what the asker holds. */
-  newsSince(held: CommittedNewsRequest): CommittedNews {
+  committedUpdateSince(held: CommittedNewsRequest): CommittedNews {
     const { configuration, configurationIndex, backendsIndex } = this.state;
     const news: CommittedNews = {};
     if (configuration && configurationIndex > held.configurationIndex) {
       news.configuration = { index: configurationIndex, routes: configuration.routes };
     }
     if (backendsIndex > held.backendsIndex) {
-      news.backends = this.backendNews.newsAfter(held.backendsIndex);
+      news.backends = this.backendUpdates.updateSince(held.backendsIndex);
     }
     return news;
   }
--- a/src/directory/silent-backend-tracker.ts
+++ b/src/directory/silent-backend-tracker.ts
@@ -56,12 +56,12 @@
   }
 
   /** Whether one who holds a version lacks something; a deposed leader has nothing for those who heard a later one. */
-  hasNewsFor(held: SilenceVersion, term: number): boolean {
+  hasUpdateFor(held: SilenceVersion, term: number): boolean {
     return held.term < term || (held.term === term && held.count < this.count);
   }
 
   /** Packed `SilenceChanges`. */
-  newsAfter(held: SilenceVersion, term: number): Uint8Array {
+  updateSince(held: SilenceVersion, term: number): Uint8Array {
     const key = held.term === term ? `${term}.${held.count}` : `${term}`;
     const packed = this.packed.get(key) ?? packJson(this.changesAfter(held, term));
     this.packed.set(key, packed);
