--- a/src/directory/backend-updates.test.ts
+++ b/src/directory/backend-updates.test.ts
@@ -75,8 +75,9 @@
 
   ask(follower: number, member: number): void {
     const { index } = this.followers[follower]!;
-    const { backendsIndex, backendUpdates: backendNews } = this.members[member]!;
-    if (backendsIndex > index) this.open.push({ follower, news: backendNews.updateSince(index) });
+    const { backendsIndex, backendUpdates } = this.members[member]!;
+    if (backendsIndex > index)
+      this.open.push({ follower, news: backendUpdates.updateSince(index) });
   }
 
   deliver({ follower, news }: Answer): void {
@@ -293,18 +294,18 @@
     for (const which of [0, 1, 2]) {
       directory.commit({ kind: 'register-backend', registration: backendOf(which, 1, 'ready') });
     }
-    const { backendUpdates: backendNews } = directory.members[0]!;
-    directory.deliver({ follower: 0, news: backendNews.updateSince(1) });
+    const { backendUpdates } = directory.members[0]!;
+    directory.deliver({ follower: 0, news: backendUpdates.updateSince(1) });
     expect(directory.followers[0]!.index).toBe(0);
   });
 
   it('that starts gets a list that was packed for others, and what has changed since', () => {
     const directory = new Directory();
     directory.commit({ kind: 'register-backend', registration: backendOf(0, 1, 'ready') });
-    const { backendUpdates: backendNews } = directory.members[0]!;
-    const [list] = backendNews.updateSince(0).pieces;
+    const { backendUpdates } = directory.members[0]!;
+    const [list] = backendUpdates.updateSince(0).pieces;
     directory.commit({ kind: 'register-backend', registration: backendOf(1, 1, 'ready') });
-    const [first, second] = [backendNews.updateSince(0), backendNews.updateSince(0)];
+    const [first, second] = [backendUpdates.updateSince(0), backendUpdates.updateSince(0)];
     expect(first.pieces[0]).toBe(list);
     expect(first.pieces).toHaveLength(2);
     expect(second.pieces[1]).toBe(first.pieces[1]);
@@ -316,7 +317,7 @@
     const directory = new Directory();
     directory.commit({ kind: 'register-backend', registration: backendOf(0, 1, 'ready') });
     directory.commit({ kind: 'register-backend', registration: backendOf(1, 1, 'ready') });
-    const { backendUpdates: backendNews } = directory.members[0]!;
-    expect(backendNews.updateSince(1).pieces[0]).toBe(backendNews.updateSince(1).pieces[0]);
+    const { backendUpdates } = directory.members[0]!;
+    expect(backendUpdates.updateSince(1).pieces[0]).toBe(backendUpdates.updateSince(1).pieces[0]);
   });
 });
--- a/src/directory/directory-client.ts
+++ b/src/directory/directory-client.ts
@@ -11,9 +11,9 @@
 import type { Incarnation } from './incarnation.js';
 import type { RetirementState } from './directory-state-machine.js';
 import {
-  COMMITTED_NEWS,
-  type CommittedNews,
-  type CommittedNewsRequest,
+  COMMITTED_UPDATE,
+  type CommittedUpdate,
+  type CommittedUpdateRequest,
   COMPLETE_RETIREMENT,
   DIRECTORY_GROUP,
   type DirectoryView,
@@ -30,7 +30,7 @@
 import { packConfiguration } from './packed-configuration.js';
 
 /** One member may take so long to say what it holds before the next is asked, in milliseconds. */
-export const COMMITTED_NEWS_TIMEOUT_MS = 300;
+export const COMMITTED_UPDATE_TIMEOUT_MS = 300;
 /** Time in which one order must be answered, in milliseconds. */
 export const ORDER_TIMEOUT_MS = 2_500;
 /** Callers of registrations give up after a second. */
@@ -84,9 +84,9 @@
    * Asks one member after the other, a call each, what it has applied.
    * @throws LinkError, TimeoutError when that one doesn't answer
    */
-  committedNews(held: CommittedNewsRequest): Promise<CommittedNews> {
-    const limits = { timeoutMs: COMMITTED_NEWS_TIMEOUT_MS };
-    return this.groups.callAnyMember(DIRECTORY_GROUP, COMMITTED_NEWS, held, limits);
+  fetchCommittedUpdate(held: CommittedUpdateRequest): Promise<CommittedUpdate> {
+    const limits = { timeoutMs: COMMITTED_UPDATE_TIMEOUT_MS };
+    return this.groups.callAnyMember(DIRECTORY_GROUP, COMMITTED_UPDATE, held, limits);
   }
 
   private call<Request, Answer>(
--- a/src/directory/directory-leader.ts
+++ b/src/directory/directory-leader.ts
@@ -245,14 +245,14 @@
       configuration,
       configurationIndex: index,
       backendsIndex,
-      backendUpdates: backendNews,
+      backendUpdates,
     } = stateMachine;
     if (configuration && index > known.configuration) {
       view.configuration = { index, routes: configuration.routes };
     }
     // One who holds none is told when there are none.
     if (backendsIndex > known.backendsIndex || known.backendsIndex === 0) {
-      view.backends = backendNews.updateSince(known.backendsIndex);
+      view.backends = backendUpdates.updateSince(known.backendsIndex);
     }
     if (leads && this.silence.hasUpdateFor(known.silence, this.term)) {
       view.silence = this.silence.updateSince(known.silence, this.term);
--- a/src/directory/directory-service.ts
+++ b/src/directory/directory-service.ts
@@ -4,7 +4,7 @@
 import type { DirectoryLeader } from './directory-leader.js';
 import {
   type Acknowledgement,
-  COMMITTED_NEWS,
+  COMMITTED_UPDATE,
   COMPLETE_RETIREMENT,
   HEARTBEAT,
   PUT_CONFIGURATION,
@@ -24,7 +24,7 @@
   findGroup: () => ReplicatedGroup | undefined,
 ): void {
   router.handle(WATCH, (request) => answerAsLeader(findGroup(), () => leader.watch(request)));
-  router.handle(COMMITTED_NEWS, (held) => leader.stateMachine.committedUpdateSince(held));
+  router.handle(COMMITTED_UPDATE, (held) => leader.stateMachine.committedUpdateSince(held));
   router.handle(HEARTBEAT, (registration) =>
     answerAsLeader(findGroup(), async () => {
       await leader.recordHeartbeat(registration);
--- a/src/directory/directory-state-machine.ts
+++ b/src/directory/directory-state-machine.ts
@@ -9,7 +9,7 @@
 import { ChangeHistory } from './change-history.js';
 import type { DirectoryCommand, DirectoryResult } from './directory-commands.js';
 import { type Incarnation, incarnationId, isLaterStart, isStartOf } from './incarnation.js';
-import type { CommittedNews, CommittedNewsRequest } from './messages.js';
+import type { CommittedUpdate, CommittedUpdateRequest } from './messages.js';
 import type { PackedConfiguration } from './packed-configuration.js';
 import { RegisteredBackends } from './registered-backends.js';
 
@@ -146,9 +146,9 @@
   }
 
   /** What was applied here after what the asker holds. */
-  committedUpdateSince(held: CommittedNewsRequest): CommittedNews {
+  committedUpdateSince(held: CommittedUpdateRequest): CommittedUpdate {
     const { configuration, configurationIndex, backendsIndex } = this.state;
-    const news: CommittedNews = {};
+    const news: CommittedUpdate = {};
     if (configuration && configurationIndex > held.configurationIndex) {
       news.configuration = { index: configurationIndex, routes: configuration.routes };
     }
--- a/src/directory/directory-watcher.ts
+++ b/src/directory/directory-watcher.ts
@@ -13,7 +13,7 @@
 import type {
   BackendLoad,
   ClusterView,
-  CommittedNews,
+  CommittedUpdate,
   ConfigurationView,
   DirectoryView,
   NodeAnnouncement,
@@ -136,7 +136,7 @@
     const { configurationIndex } = this;
     try {
       const held = { configurationIndex, backendsIndex: this.backends.index };
-      this.takeCommitted(await this.options.client.committedNews(held));
+      this.takeCommitted(await this.options.client.fetchCommittedUpdate(held));
     } catch (error) {
       const reason = describeError(error);
       this.options.logger.debug('member told no news', { reason });
@@ -168,7 +168,7 @@
   }
 
   /** What is held of silent back ends stays: only a leader knows of them. */
-  private takeCommitted({ configuration, backends }: CommittedNews): void {
+  private takeCommitted({ configuration, backends }: CommittedUpdate): void {
     if (configuration) this.takeConfiguration(configuration);
     if (!backends || backends.index <= this.backends.index) return;
     const { index } = backends;
--- a/src/directory/followed-leaders.test.ts
+++ b/src/directory/followed-leaders.test.ts
@@ -10,7 +10,7 @@
 import type { DirectoryClient } from './directory-client.js';
 import { DirectoryLeader } from './directory-leader.js';
 import { DirectoryWatcher } from './directory-watcher.js';
-import type { CommittedNewsRequest, WatchRequest } from './messages.js';
+import type { CommittedUpdateRequest, WatchRequest } from './messages.js';
 
 const MEMBERS = 3;
 const NAMES = 20;
@@ -124,7 +124,7 @@
   };
   const client = {
     watch: async (request: WatchRequest) => loseSome(await members.leader.directory.watch(request)),
-    committedNews: async (held: CommittedNewsRequest) =>
+    committedNews: async (held: CommittedUpdateRequest) =>
       loseSome(members.any().directory.stateMachine.committedUpdateSince(held)),
   };
   return client as unknown as DirectoryClient;
--- a/src/directory/messages.ts
+++ b/src/directory/messages.ts
@@ -74,7 +74,7 @@
 }
 
 /** What the sender holds of the parts that calls are forwarded by. */
-export interface CommittedNewsRequest {
+export interface CommittedUpdateRequest {
   /** Log index of the configuration; 0 for none. */
   configurationIndex: number;
   /** Log index of the last change of back ends; 0 for none. */
@@ -82,7 +82,7 @@
 }
 
 /** What one member has applied after what the sender holds; any member tells it, also one that lags. */
-export interface CommittedNews {
+export interface CommittedUpdate {
   configuration?: ConfigurationView;
   backends?: BackendUpdate;
 }
@@ -123,7 +123,7 @@
 }
 
 export const WATCH = defineMethod<WatchRequest, LeaderAnswer<DirectoryView>>('directory.watch');
-export const COMMITTED_NEWS = defineMethod<CommittedNewsRequest, CommittedNews>(
+export const COMMITTED_UPDATE = defineMethod<CommittedUpdateRequest, CommittedUpdate>(
   'directory.committed-news',
 );
 export const HEARTBEAT = defineMethod<BackendRegistration, LeaderAnswer<Acknowledgement>>(
--- a/src/directory/silent-members.test.ts
+++ b/src/directory/silent-members.test.ts
@@ -11,7 +11,7 @@
 import type { BackendDelta } from './backend-updates.js';
 import { DirectoryClient } from './directory-client.js';
 import { DirectoryWatcher } from './directory-watcher.js';
-import { COMMITTED_NEWS, WATCH } from './messages.js';
+import { COMMITTED_UPDATE, WATCH } from './messages.js';
 import { packJson } from './packed-json.js';
 
 const TRIES = 40;
@@ -36,7 +36,7 @@
     options: CallOptions,
   ): Promise<Response> {
     if (address !== 'holder') await this.speak(options);
-    if (method.name === COMMITTED_NEWS.name) {
+    if (method.name === COMMITTED_UPDATE.name) {
       const list: BackendDelta = { index: 50, changed: [], gone: [] };
       return { backends: { index: 50, pieces: [packJson(list)] } } as Response;
     }
--- a/tests/time-budgets.test.ts
+++ b/tests/time-budgets.test.ts
@@ -9,7 +9,7 @@
 import { DEFAULT_MAXIMUM_PAUSE_MS } from '../src/consensus/group-client.js';
 import { checkConsensusOptions } from '../src/consensus/options.js';
 import {
-  COMMITTED_NEWS_TIMEOUT_MS,
+  COMMITTED_UPDATE_TIMEOUT_MS,
   ORDER_TIMEOUT_MS,
   REGISTRATION_TIMEOUT_MS,
 } from '../src/directory/directory-client.js';
@@ -101,9 +101,9 @@
     parts: [
       LEADER_OVERDUE_MS,
       LONGEST_MEMBER_INTERVAL_MS,
-      COMMITTED_NEWS_TIMEOUT_MS,
+      COMMITTED_UPDATE_TIMEOUT_MS,
       LONGEST_MEMBER_INTERVAL_MS,
-      COMMITTED_NEWS_TIMEOUT_MS,
+      COMMITTED_UPDATE_TIMEOUT_MS,
       LONGEST_MEMBER_INTERVAL_MS,
       ANSWER_MS,
     ],
