--- a/src/directory/followed-leaders.test.ts
+++ b/src/directory/followed-leaders.test.ts
@@ -124,7 +124,7 @@
   };
   const client = {
     watch: async (request: WatchRequest) => loseSome(await members.leader.directory.watch(request)),
-    committedNews: async (held: CommittedUpdateRequest) =>
+    fetchCommittedUpdate: async (held: CommittedUpdateRequest) =>
       loseSome(members.any().directory.stateMachine.committedUpdateSince(held)),
   };
   return client as unknown as DirectoryClient;
