--- a/src/directory/directory-leader.ts
+++ b/src/directory/directory-leader.ts
@@ -24,7 +24,7 @@
   RetirementAnswer,
   WatchRequest,
 } from './messages.js';
-import { NewsPacer } from './news-pacer.js';
+import { NotificationThrottle } from './notification-throttle.js';
 import { NodeRoster } from './node-roster.js';
 import { SilentBackendTracker } from './silent-backend-tracker.js';
 
@@ -91,7 +91,7 @@
   /** Log index of the changes of back ends for which waiting questions are answered. */
   private toldBackendsIndex = 0;
   private toldConfigurationIndex = 0;
-  private readonly backendNewsPacer = new NewsPacer(BACKEND_NEWS_INTERVAL_MS, () =>
+  private readonly backendNewsPacer = new NotificationThrottle(BACKEND_NEWS_INTERVAL_MS, () =>
     this.tellBackends(),
   );
   private isHousekeeping = false;
@@ -351,7 +351,7 @@
     const { configurationIndex, backendsIndex } = this.stateMachine;
     if (configurationIndex !== this.toldConfigurationIndex) this.news.notify();
     this.toldConfigurationIndex = configurationIndex;
-    if (backendsIndex !== this.toldBackendsIndex) this.backendNewsPacer.note();
+    if (backendsIndex !== this.toldBackendsIndex) this.backendNewsPacer.schedule();
     this.scheduleClusterNews();
   }
 
@@ -383,8 +383,7 @@
     const { configurationIndex, backendsIndex } = this.stateMachine;
     const index = part === 'configuration' ? configurationIndex : backendsIndex;
     const leadingSince = this.group?.leadingSince ?? 0;
-    if (index !== this.toldBackendsIndex && part === 'backendsIndex')
-      this.backendNewsPacer.tellNow();
+    if (index !== this.toldBackendsIndex && part === 'backendsIndex') this.backendNewsPacer.flush();
     const lagging = await this.confirmations.wait({ part, index, timeoutMs, leadingSince });
     if (lagging.length === 0) return;
     const names = lagging.slice(0, MAX_LOGGED_GATEWAYS).join(',');
--- a/src/directory/news-pacer.ts
+++ b/src/directory/notification-throttle.ts
@@ -1,32 +1,32 @@
 /** Tells of many changes in few messages: the first at once, those that follow closely together. */
 import { monotonicMs } from '../common/index.js';
 
-export class NewsPacer {
+export class NotificationThrottle {
   private toldAt = Number.NEGATIVE_INFINITY;
   private timer: NodeJS.Timeout | undefined;
 
   /**
    * @param intervalMs shortest time between two tellings, in milliseconds
-   * @param tell called when what has been noted is to be told
+   * @param notify called when what has been noted is to be told
    */
   constructor(
     private readonly intervalMs: number,
-    private readonly tell: () => void,
+    private readonly notify: () => void,
   ) {}
 
   /** There is something to tell. */
-  note(): void {
+  schedule(): void {
     if (this.timer) return;
     const waitMs = this.toldAt + this.intervalMs - monotonicMs();
-    if (waitMs <= 0) this.tellNow();
-    else this.timer = setTimeout(() => this.tellNow(), waitMs);
+    if (waitMs <= 0) this.flush();
+    else this.timer = setTimeout(() => this.flush(), waitMs);
   }
 
   /** For what must not wait. */
-  tellNow(): void {
+  flush(): void {
     this.stop();
     this.toldAt = monotonicMs();
-    this.tell();
+    this.notify();
   }
 
   stop(): void {
