--- a/src/directory/directory-leader.ts
+++ b/src/directory/directory-leader.ts
@@ -6,7 +6,7 @@
 import type { ReplicatedGroup } from '../consensus/index.js';
 import type { Logger } from '../observability/index.js';
 import { encodeValue } from '../wire/index.js';
-import { AnswerTurns } from './answer-turns.js';
+import { EventLoopThrottle } from './event-loop-throttle.js';
 import type { BackendRegistration } from './backend-registration.js';
 import type { DirectoryCommand } from './directory-commands.js';
 import { DirectoryStateMachine, type RetirementState } from './directory-state-machine.js';
@@ -80,7 +80,7 @@
   private readonly heartbeats: HeartbeatTable;
   private readonly founding: LedgerFounding;
   private readonly news = new SignalEvent();
-  private readonly answerTurns = new AnswerTurns(ANSWERS_PER_TURN);
+  private readonly answerTurns = new EventLoopThrottle(ANSWERS_PER_TURN);
   private readonly timer: NodeJS.Timeout;
   private group: ReplicatedGroup | undefined;
   private clusterVersion = 0;
--- a/src/directory/answer-turns.ts
+++ b/src/directory/event-loop-throttle.ts
@@ -3,7 +3,7 @@
  * theirs in between.
  */
 
-export class AnswerTurns {
+export class EventLoopThrottle {
   private readonly waiting: (() => void)[] = [];
   private isScheduled = false;
 
