--- a/src/directory/held-backends.ts
+++ b/src/directory/backend-cache.ts
@@ -11,7 +11,7 @@
   type SilenceVersion,
 } from './silent-backend-tracker.js';
 
-export class HeldBackends {
+export class BackendCache {
   /** Log index of the last change that is held; 0 for none. */
   index = 0;
   /** Of the silent back ends that are held. */
@@ -25,13 +25,13 @@
   }
 
   /** Takes what is newer than what is held. */
-  take(news: BackendUpdate): void {
+  apply(news: BackendUpdate): void {
     if (news.index <= this.index) return;
     for (const piece of news.pieces) this.takeChanges(unpackJson<BackendDelta>(piece));
   }
 
   /** Takes what the same leader, or a later one, tells of silent back ends. */
-  takeSilence({ afterCount, version, silent, heard }: SilenceDelta): void {
+  applySilenceDelta({ afterCount, version, silent, heard }: SilenceDelta): void {
     if (version.term < this.silence.term) return;
     const isWhole = afterCount === undefined;
     const follows = version.term === this.silence.term && afterCount === this.silence.count;
--- a/src/directory/backend-updates.test.ts
+++ b/src/directory/backend-updates.test.ts
@@ -8,7 +8,7 @@
 import { ChangeHistory } from './change-history.js';
 import type { DirectoryCommand } from './directory-commands.js';
 import { DirectoryStateMachine } from './directory-state-machine.js';
-import { HeldBackends } from './held-backends.js';
+import { BackendCache } from './backend-cache.js';
 import { unpackJson } from './packed-json.js';
 import {
   SilentBackendTracker,
@@ -45,7 +45,7 @@
 class Directory {
   readonly log: DirectoryCommand[] = [];
   readonly members = Array.from({ length: MEMBERS }, newMember);
-  readonly followers = Array.from({ length: FOLLOWERS }, () => new HeldBackends());
+  readonly followers = Array.from({ length: FOLLOWERS }, () => new BackendCache());
   /** Answers that are still on their way. */
   readonly open: Answer[] = [];
   /** What the back ends were at each log index at which they changed, and at none. */
@@ -83,7 +83,7 @@
   deliver({ follower, news }: Answer): void {
     const held = this.followers[follower]!;
     const before = held.index;
-    held.take(news);
+    held.apply(news);
     expect(held.index).toBeGreaterThanOrEqual(before);
     expect(textOf(held.records())).toBe(this.states.get(held.index));
   }
@@ -158,7 +158,7 @@
 /** A follower of leaders, one term after the other, that tell which back ends are silent. */
 class FollowedSilence {
   private readonly board = new SilentBackendTracker();
-  private readonly held = new HeldBackends();
+  private readonly held = new BackendCache();
   /** Which were silent at each version. */
   private readonly states = new Map<string, string>();
   private term = 1;
@@ -168,7 +168,7 @@
     for (let which = 0; which < NAMES - 1; which += 1) {
       directory.commit({ kind: 'register-backend', registration: backendOf(which, 1, 'ready') });
     }
-    this.held.take(directory.members[0]!.backendUpdates.updateSince(0));
+    this.held.apply(directory.members[0]!.backendUpdates.updateSince(0));
   }
 
   beginTerm(): void {
@@ -189,7 +189,7 @@
   }
 
   take(changes: SilenceDelta): void {
-    this.held.takeSilence(changes);
+    this.held.applySilenceDelta(changes);
     expect(this.heldText()).toBe(this.states.get(keyOf(this.held.silence)));
   }
 
@@ -233,13 +233,13 @@
   it('takes nothing of an earlier leader for what follows on a later one', () => {
     const earlier = new SilentBackendTracker();
     const later = new SilentBackendTracker();
-    const held = new HeldBackends();
+    const held = new BackendCache();
     const directory = new Directory();
     for (const name of [0, 1]) {
       directory.commit({ kind: 'register-backend', registration: backendOf(name, 1, 'ready') });
     }
     directory.ask(0, 0);
-    held.take(directory.open[0]!.news);
+    held.apply(directory.open[0]!.news);
     const silentIds = (): string[] =>
       held
         .records()
@@ -248,15 +248,15 @@
 
     earlier.update(new Set(['i-0@1']));
     const ofEarlier = earlier.updateSince(held.silence, 1);
-    held.takeSilence(unpackJson(ofEarlier));
+    held.applySilenceDelta(unpackJson(ofEarlier));
     expect(silentIds()).toEqual(['i-0@1']);
     // The same count of another leader stands for something else.
     later.update(new Set(['i-1@1']));
     expect(later.hasUpdateFor(held.silence, 2)).toBe(true);
-    held.takeSilence(unpackJson(later.updateSince(held.silence, 2)));
+    held.applySilenceDelta(unpackJson(later.updateSince(held.silence, 2)));
     expect(silentIds()).toEqual(['i-1@1']);
     // An answer of the deposed one comes late, and it has no more to tell.
-    held.takeSilence(unpackJson(ofEarlier));
+    held.applySilenceDelta(unpackJson(ofEarlier));
     expect(silentIds()).toEqual(['i-1@1']);
     expect(earlier.hasUpdateFor(held.silence, 1)).toBe(false);
   });
--- a/src/directory/confirmed-acknowledgement.test.ts
+++ b/src/directory/confirmed-acknowledgement.test.ts
@@ -10,7 +10,7 @@
 import { CommittingDirectory } from '../../tests/support/committing-directory.js';
 import { sampleRegistration } from '../../tests/support/directory-samples.js';
 import { sleep } from '../common/index.js';
-import { HeldBackends } from './held-backends.js';
+import { BackendCache } from './backend-cache.js';
 import { type DirectoryView, INITIAL_KNOWN_VERSIONS } from './messages.js';
 import { unpackJson } from './packed-json.js';
 
@@ -20,7 +20,7 @@
 
 class Gateway {
   private known = INITIAL_KNOWN_VERSIONS;
-  private readonly backends = new HeldBackends();
+  private readonly backends = new BackendCache();
 
   constructor(
     private readonly directory: CommittingDirectory,
@@ -35,8 +35,8 @@
       isUrgent: true,
       loads: [],
     });
-    if (view.backends) this.backends.take(view.backends);
-    if (view.silence) this.backends.takeSilence(unpackJson(view.silence));
+    if (view.backends) this.backends.apply(view.backends);
+    if (view.silence) this.backends.applySilenceDelta(unpackJson(view.silence));
     this.known = {
       configuration: view.configuration?.index ?? this.known.configuration,
       backendsIndex: this.backends.index,
--- a/src/directory/directory-leader.test.ts
+++ b/src/directory/directory-leader.test.ts
@@ -3,7 +3,7 @@
 import { CommittingDirectory } from '../../tests/support/committing-directory.js';
 import { sampleRegistration } from '../../tests/support/directory-samples.js';
 import { sleep } from '../common/index.js';
-import { HeldBackends } from './held-backends.js';
+import { BackendCache } from './backend-cache.js';
 import {
   type NodeAnnouncement,
   INITIAL_KNOWN_VERSIONS,
@@ -127,8 +127,8 @@
     const after = await committing.leader.watch(watchOf('gateway'));
     expect(version).toBeDefined();
     expect(after.cluster!.version).toBe(settled.cluster!.version);
-    const held = new HeldBackends();
-    held.take(after.backends!);
+    const held = new BackendCache();
+    held.apply(after.backends!);
     expect(held.records()).toHaveLength(1);
   });
 });
--- a/src/directory/directory-watcher.ts
+++ b/src/directory/directory-watcher.ts
@@ -9,7 +9,7 @@
 import type { RouteConfiguration } from '../routes/index.js';
 import type { BackendRecord } from './backend-registration.js';
 import type { DirectoryClient } from './directory-client.js';
-import { HeldBackends } from './held-backends.js';
+import { BackendCache } from './backend-cache.js';
 import type {
   BackendLoad,
   ClusterView,
@@ -62,7 +62,7 @@
 
 export class DirectoryWatcher {
   private configurationIndex = 0;
-  private readonly backends = new HeldBackends();
+  private readonly backends = new BackendCache();
   private clusterVersion = '';
   private confirmedAt = Number.NEGATIVE_INFINITY;
   /** What is held was in force then, whoever led (monotonic, milliseconds). */
@@ -174,7 +174,7 @@
     const { index } = backends;
     const leaderAgeMs = Math.round(this.ageMs);
     this.options.logger.info('back ends told by a member', { index, leaderAgeMs });
-    this.backends.take(backends);
+    this.backends.apply(backends);
     this.options.onBackends?.(this.backends.records());
   }
 
@@ -191,8 +191,8 @@
   /** Both parts are taken before anything acts by either. */
   private takeBackends({ backends, silence }: DirectoryView): void {
     if (!backends && !silence) return;
-    if (backends) this.backends.take(backends);
-    if (silence) this.backends.takeSilence(unpackJson<SilenceDelta>(silence));
+    if (backends) this.backends.apply(backends);
+    if (silence) this.backends.applySilenceDelta(unpackJson<SilenceDelta>(silence));
     this.options.onBackends?.(this.backends.records());
   }
 
--- a/src/directory/notification-throttle.test.ts
+++ b/src/directory/notification-throttle.test.ts
@@ -3,7 +3,7 @@
 import { CommittingDirectory } from '../../tests/support/committing-directory.js';
 import { sampleRegistration } from '../../tests/support/directory-samples.js';
 import type { BackendRegistration } from './backend-registration.js';
-import { HeldBackends } from './held-backends.js';
+import { BackendCache } from './backend-cache.js';
 import { INITIAL_KNOWN_VERSIONS } from './messages.js';
 import { unpackJson } from './packed-json.js';
 
@@ -22,7 +22,7 @@
 
 class Gateway {
   answers = 0;
-  private readonly held = new HeldBackends();
+  private readonly held = new BackendCache();
   private cluster = '';
 
   constructor(private readonly directory: CommittingDirectory) {}
@@ -45,8 +45,8 @@
       loads: [],
     });
     if (view.backends && view.backends.index > backendsIndex) this.answers += 1;
-    if (view.backends) this.held.take(view.backends);
-    if (view.silence) this.held.takeSilence(unpackJson(view.silence));
+    if (view.backends) this.held.apply(view.backends);
+    if (view.silence) this.held.applySilenceDelta(unpackJson(view.silence));
     this.cluster = view.cluster?.version ?? this.cluster;
   }
 }
