--- a/src/directory/directory-watcher.ts
+++ b/src/directory/directory-watcher.ts
@@ -18,7 +18,7 @@
   DirectoryView,
   NodeAnnouncement,
 } from './messages.js';
-import { othersOf } from './load-totals.js';
+import { loadsOfOtherGateways } from './load-totals.js';
 import { unpackRoutes } from './packed-configuration.js';
 import { unpackJson } from './packed-json.js';
 import type { SilenceDelta } from './silent-backend-tracker.js';
@@ -164,7 +164,7 @@
     }
     this.takeBackends(view);
     if (view.configuration) this.takeConfiguration(view.configuration);
-    if (view.loads) this.options.onOtherLoads?.(othersOf(view.loads));
+    if (view.loads) this.options.onOtherLoads?.(loadsOfOtherGateways(view.loads));
   }
 
   /** What is held of silent back ends stays: only a leader knows of them. */
--- a/src/directory/load-report-store.test.ts
+++ b/src/directory/load-report-store.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { LoadReportStore } from './load-report-store.js';
-import { othersOf } from './load-totals.js';
+import { loadsOfOtherGateways } from './load-totals.js';
 import type { BackendLoad } from './messages.js';
 
 /** Longer than a report says anything, in milliseconds. */
@@ -19,7 +19,7 @@
 }
 
 function othersThan(board: LoadReportStore, gateway: string): BackendLoad[] {
-  return othersOf(board.totalsFor(gateway));
+  return loadsOfOtherGateways(board.totalsFor(gateway));
 }
 
 describe('load board', () => {
--- a/src/directory/load-totals.ts
+++ b/src/directory/load-totals.ts
@@ -22,7 +22,7 @@
 }
 
 /** Calls of the other gateways; back ends without any are left out. */
-export function othersOf({ sums, own }: LoadTotals): BackendLoad[] {
+export function loadsOfOtherGateways({ sums, own }: LoadTotals): BackendLoad[] {
   const ownCalls = new Map<string, number>();
   for (const { id, inFlight } of own) ownCalls.set(id, (ownCalls.get(id) ?? 0) + inFlight);
   const { ids, inFlight } = unpackJson<LoadSums>(sums);
