--- a/src/directory/directory-state-machine.ts
+++ b/src/directory/directory-state-machine.ts
@@ -8,7 +8,12 @@
 import type { BackendRegistration } from './backend-registration.js';
 import { ChangeHistory } from './change-history.js';
 import type { DirectoryCommand, DirectoryResult } from './directory-commands.js';
-import { type Incarnation, incarnationId, isLaterStart, isStartOf } from './incarnation.js';
+import {
+  type Incarnation,
+  incarnationId,
+  isLaterIncarnation,
+  isIncarnationOf,
+} from './incarnation.js';
 import type { CommittedUpdate, CommittedUpdateRequest } from './messages.js';
 import type { PackedConfiguration } from './packed-configuration.js';
 import { RegisteredBackends } from './registered-backends.js';
@@ -246,9 +251,9 @@
   private isOutdated(registration: BackendRegistration): boolean {
     const { name, address } = registration;
     return this.state.backends.havingNameOrAddress(name, address).some((known) => {
-      if (known.name === name) return isLaterStart(known, registration);
+      if (known.name === name) return isLaterIncarnation(known, registration);
       const bothSay = known.startedAt !== undefined && registration.startedAt !== undefined;
-      return known.address === address && bothSay && isLaterStart(known, registration);
+      return known.address === address && bothSay && isLaterIncarnation(known, registration);
     });
   }
 
@@ -285,7 +290,7 @@
     const { lost } = this.state;
     lost.delete(id);
     for (const [other, otherAddress] of [...lost]) {
-      if (otherAddress === address || isStartOf(other, name)) this.forget(other, index);
+      if (otherAddress === address || isIncarnationOf(other, name)) this.forget(other, index);
     }
   }
 
--- a/src/directory/incarnation.ts
+++ b/src/directory/incarnation.ts
@@ -16,13 +16,13 @@
 }
 
 /** Whether an id is one of a back end's starts. */
-export function isStartOf(id: string, name: string): boolean {
+export function isIncarnationOf(id: string, name: string): boolean {
   const escaped = encodeURIComponent(name);
   return id === escaped || id.startsWith(`${escaped}@`);
 }
 
 /** Whether the first of two starts of one back end is the later one. */
-export function isLaterStart(first: Incarnation, second: Incarnation): boolean {
+export function isLaterIncarnation(first: Incarnation, second: Incarnation): boolean {
   if (first.startedAt === undefined) return false;
   // Where one says when it started, one of the same name that doesn't is no start of it.
   return second.startedAt === undefined || first.startedAt > second.startedAt;
