--- a/src/directory/directory-leader.ts
+++ b/src/directory/directory-leader.ts
@@ -13,7 +13,7 @@
 import { type ConfirmedPart, GatewayConfirmations } from './gateway-confirmations.js';
 import { HeartbeatTable } from './heartbeat-table.js';
 import type { Incarnation } from './incarnation.js';
-import { LedgerFounding } from './ledger-founding.js';
+import { LedgerBootstrap } from './ledger-bootstrap.js';
 import { LoadReportStore } from './load-report-store.js';
 import type {
   ClusterView,
@@ -78,7 +78,7 @@
   private readonly loads = new LoadReportStore();
   private readonly confirmations = new GatewayConfirmations();
   private readonly heartbeats: HeartbeatTable;
-  private readonly founding: LedgerFounding;
+  private readonly founding: LedgerBootstrap;
   private readonly news = new SignalEvent();
   private readonly answerTurns = new EventLoopThrottle(ANSWERS_PER_TURN);
   private readonly timer: NodeJS.Timeout;
@@ -102,7 +102,7 @@
       silentAfterMs: options.heartbeatIntervalMs * SILENT_AFTER_INTERVALS,
       removeAfterMs: options.heartbeatIntervalMs * REMOVED_AFTER_INTERVALS,
     });
-    this.founding = new LedgerFounding(options.ledgerVoters);
+    this.founding = new LedgerBootstrap(options.ledgerVoters);
     this.timer = setInterval(() => void this.keepHouse(), HOUSEKEEPING_INTERVAL_MS);
   }
 
--- a/src/directory/ledger-founding.ts
+++ b/src/directory/ledger-bootstrap.ts
@@ -8,7 +8,7 @@
 /** How long it waits for as many journal processes as are wished, in milliseconds. */
 const PATIENCE_MS = 6_000;
 
-export class LedgerFounding {
+export class LedgerBootstrap {
   private firstJournalAt: number | undefined;
 
   /** @param wishedVoters members that the group should have */
