--- a/src/directory/gateway-confirmations.ts
+++ b/src/directory/gateway-confirmations.ts
@@ -10,7 +10,7 @@
  * A gateway that has not asked for so long is not waited for, in milliseconds: three of the times for
  * which a question is held, so that one that was killed delays an order by no more.
  */
-export const IN_TOUCH_MS = 600;
+export const GATEWAY_ACTIVE_WINDOW_MS = 600;
 
 /** The parts of the directory that gateways act by. */
 export type ConfirmedPart = 'configuration' | 'backendsIndex';
@@ -55,7 +55,7 @@
   private async waitForAll(change: AwaitedChange): Promise<string[]> {
     const { part, index, timeoutMs, leadingSince } = change;
     const startedAt = monotonicMs();
-    const allKnownAt = Math.min(leadingSince + IN_TOUCH_MS, startedAt + timeoutMs);
+    const allKnownAt = Math.min(leadingSince + GATEWAY_ACTIVE_WINDOW_MS, startedAt + timeoutMs);
     for (;;) {
       const now = monotonicMs();
       const lagging = this.lagging(part, index, now);
@@ -74,7 +74,7 @@
   private lagging(part: ConfirmedPart, index: number, now: number): string[] {
     const names: string[] = [];
     for (const [name, { known, askedAt }] of this.gateways) {
-      if (now - askedAt > IN_TOUCH_MS) this.gateways.delete(name);
+      if (now - askedAt > GATEWAY_ACTIVE_WINDOW_MS) this.gateways.delete(name);
       else if (known[part] < index) names.push(name);
     }
     return names;
@@ -87,7 +87,9 @@
     leftMs: number,
     allKnownAt: number,
   ): number {
-    const ends = lagging.map((name) => this.gateways.get(name)!.askedAt + IN_TOUCH_MS - now);
+    const ends = lagging.map(
+      (name) => this.gateways.get(name)!.askedAt + GATEWAY_ACTIVE_WINDOW_MS - now,
+    );
     const unknownMs = allKnownAt > now ? [allKnownAt - now] : [];
     return Math.max(1, Math.min(leftMs, ...ends, ...unknownMs));
   }
--- a/tests/time-budgets.test.ts
+++ b/tests/time-budgets.test.ts
@@ -24,7 +24,7 @@
   WATCH_MAXIMUM_PAUSE_MS,
   WATCH_TRY_TIMEOUT_MS,
 } from '../src/directory/directory-watcher.js';
-import { IN_TOUCH_MS } from '../src/directory/gateway-confirmations.js';
+import { GATEWAY_ACTIVE_WINDOW_MS } from '../src/directory/gateway-confirmations.js';
 import { GROUP_TIMING } from '../src/nodes/node-settings.js';
 import { keyLeaseMs } from '../src/tenants/index.js';
 import { CONNECTION_ATTEMPT_DELAY_MS } from '../src/wire/connection-race.js';
@@ -144,11 +144,15 @@
     boundMs: ORDER_MS,
     parts: [SENDER_PATIENCE_MS, ORDER_TIMEOUT_MS, ANSWER_MS],
   },
-  { row: 'in touch: questions in a row', boundMs: IN_TOUCH_MS, parts: [WATCH_WAIT_MS, ANSWER_MS] },
+  {
+    row: 'in touch: questions in a row',
+    boundMs: GATEWAY_ACTIVE_WINDOW_MS,
+    parts: [WATCH_WAIT_MS, ANSWER_MS],
+  },
   {
     row: 'in touch: a killed gateway',
     boundMs: CONFIGURATION_CONFIRM_MS,
-    parts: [IN_TOUCH_MS, ANSWER_MS],
+    parts: [GATEWAY_ACTIVE_WINDOW_MS, ANSWER_MS],
   },
   { row: 'revoked: out of touch', boundMs: REVOKED_MS, parts: [keyLeaseMs(REVOKED_MS)] },
   {
