--- a/src/directory/directory-leader.ts
+++ b/src/directory/directory-leader.ts
@@ -29,7 +29,7 @@
 import { SilentBackendTracker } from './silent-backend-tracker.js';
 
 /** How long a watcher waits for news at most, in milliseconds. */
-export const WATCH_WAIT_MS = 200;
+export const WATCH_LONG_POLL_MS = 200;
 /**
  * A change wakes the questions of all watchers. Answered in one turn of the event loop, they kept heartbeats and votes
  * back, and a leader of a tenth of a core lost its lead for its watchers alone.
@@ -209,7 +209,7 @@
       this.loads.report(request.node.name, request.loads);
       this.confirmations.note(request.node.name, request.known);
     }
-    const deadline = monotonicMs() + WATCH_WAIT_MS;
+    const deadline = monotonicMs() + WATCH_LONG_POLL_MS;
     while (!request.isUrgent && !this.hasNewsFor(request) && this.group?.isLeader) {
       const left = deadline - monotonicMs();
       if (left <= 0) break;
--- a/tests/time-budgets.test.ts
+++ b/tests/time-budgets.test.ts
@@ -16,7 +16,7 @@
 import {
   BACKENDS_CONFIRM_MS,
   CONFIGURATION_CONFIRM_MS,
-  WATCH_WAIT_MS,
+  WATCH_LONG_POLL_MS,
 } from '../src/directory/directory-leader.js';
 import {
   LEADER_OVERDUE_MS,
@@ -74,7 +74,7 @@
 }
 
 const BUDGETS: Budget[] = [
-  { row: 'obeyed: nothing is wrong', boundMs: OBEYED_MS, parts: [WATCH_WAIT_MS, ANSWER_MS] },
+  { row: 'obeyed: nothing is wrong', boundMs: OBEYED_MS, parts: [WATCH_LONG_POLL_MS, ANSWER_MS] },
   {
     row: 'obeyed: connection silent for good',
     boundMs: OBEYED_MS,
@@ -147,7 +147,7 @@
   {
     row: 'in touch: questions in a row',
     boundMs: GATEWAY_ACTIVE_WINDOW_MS,
-    parts: [WATCH_WAIT_MS, ANSWER_MS],
+    parts: [WATCH_LONG_POLL_MS, ANSWER_MS],
   },
   {
     row: 'in touch: a killed gateway',
@@ -160,7 +160,7 @@
     boundMs: keyLeaseMs(REVOKED_MS),
     parts: [
       REVOKED_MS * OWED_SHARE,
-      WATCH_WAIT_MS,
+      WATCH_LONG_POLL_MS,
       timing.heartbeatIntervalMs,
       ANSWER_MS,
       ANSWER_MS,
