--- a/src/directory/directory-watcher.ts
+++ b/src/directory/directory-watcher.ts
@@ -40,7 +40,7 @@
 export const LEADER_OVERDUE_MS = 600;
 /** Time between two members that are asked, in milliseconds; spread, since all gateways ask at once. */
 const MEMBER_INTERVAL_MS = 150;
-export const LONGEST_MEMBER_INTERVAL_MS = 225;
+export const MAX_MEMBER_POLL_INTERVAL_MS = 225;
 
 const WATCH_LIMITS: GroupCallOptions = {
   timeoutMs: WATCH_TIMEOUT_MS,
@@ -125,7 +125,7 @@
   private async followMembers(): Promise<void> {
     const { signal } = this.stopping;
     while (!signal.aborted) {
-      const spreadMs = Math.random() * (LONGEST_MEMBER_INTERVAL_MS - MEMBER_INTERVAL_MS);
+      const spreadMs = Math.random() * (MAX_MEMBER_POLL_INTERVAL_MS - MEMBER_INTERVAL_MS);
       await sleep(MEMBER_INTERVAL_MS + spreadMs, signal);
       const hasHeardLeader = Number.isFinite(this.confirmedAt);
       if (hasHeardLeader && this.ageMs > LEADER_OVERDUE_MS) await this.askMember();
--- a/tests/time-budgets.test.ts
+++ b/tests/time-budgets.test.ts
@@ -20,7 +20,7 @@
 } from '../src/directory/directory-leader.js';
 import {
   LEADER_OVERDUE_MS,
-  LONGEST_MEMBER_INTERVAL_MS,
+  MAX_MEMBER_POLL_INTERVAL_MS,
   WATCH_MAXIMUM_PAUSE_MS,
   WATCH_TRY_TIMEOUT_MS,
 } from '../src/directory/directory-watcher.js';
@@ -100,11 +100,11 @@
     boundMs: OBEYED_MS,
     parts: [
       LEADER_OVERDUE_MS,
-      LONGEST_MEMBER_INTERVAL_MS,
+      MAX_MEMBER_POLL_INTERVAL_MS,
       COMMITTED_UPDATE_TIMEOUT_MS,
-      LONGEST_MEMBER_INTERVAL_MS,
+      MAX_MEMBER_POLL_INTERVAL_MS,
       COMMITTED_UPDATE_TIMEOUT_MS,
-      LONGEST_MEMBER_INTERVAL_MS,
+      MAX_MEMBER_POLL_INTERVAL_MS,
       ANSWER_MS,
     ],
   },
