--- a/src/directory/directory-client.ts
+++ b/src/directory/directory-client.ts
@@ -32,7 +32,7 @@
 /** One member may take so long to say what it holds before the next is asked, in milliseconds. */
 export const COMMITTED_UPDATE_TIMEOUT_MS = 300;
 /** Time in which one order must be answered, in milliseconds. */
-export const ORDER_TIMEOUT_MS = 2_500;
+export const OPERATOR_REQUEST_TIMEOUT_MS = 2_500;
 /** Callers of registrations give up after a second. */
 export const REGISTRATION_TIMEOUT_MS = 800;
 const READ_TIMEOUT_MS = 900;
@@ -45,7 +45,7 @@
   /** Resolves once the configuration, or one of a higher generation, is committed. */
   async putConfiguration(configuration: RouteConfiguration, source: string): Promise<void> {
     const packed = packConfiguration(configuration, source);
-    await this.call(PUT_CONFIGURATION, packed, ORDER_TIMEOUT_MS);
+    await this.call(PUT_CONFIGURATION, packed, OPERATOR_REQUEST_TIMEOUT_MS);
   }
 
   /** The newest committed configuration as its operator sent it. */
@@ -72,7 +72,7 @@
   }
 
   async completeRetirement(node: string): Promise<void> {
-    await this.call(COMPLETE_RETIREMENT, { node }, ORDER_TIMEOUT_MS);
+    await this.call(COMPLETE_RETIREMENT, { node }, OPERATOR_REQUEST_TIMEOUT_MS);
   }
 
   /** Waits a while at the leader for news. */
--- a/tests/time-budgets.test.ts
+++ b/tests/time-budgets.test.ts
@@ -10,7 +10,7 @@
 import { checkConsensusOptions } from '../src/consensus/options.js';
 import {
   COMMITTED_UPDATE_TIMEOUT_MS,
-  ORDER_TIMEOUT_MS,
+  OPERATOR_REQUEST_TIMEOUT_MS,
   REGISTRATION_TIMEOUT_MS,
 } from '../src/directory/directory-client.js';
 import {
@@ -130,7 +130,7 @@
   },
   {
     row: 'acknowledged: configuration, leader lost',
-    boundMs: ORDER_TIMEOUT_MS,
+    boundMs: OPERATOR_REQUEST_TIMEOUT_MS,
     parts: [
       LATEST_ELECTION_MS,
       VOTE_TIMEOUT_MS,
@@ -142,7 +142,7 @@
   {
     row: 'acknowledged: configuration, sent again',
     boundMs: ORDER_MS,
-    parts: [SENDER_PATIENCE_MS, ORDER_TIMEOUT_MS, ANSWER_MS],
+    parts: [SENDER_PATIENCE_MS, OPERATOR_REQUEST_TIMEOUT_MS, ANSWER_MS],
   },
   {
     row: 'in touch: questions in a row',
