--- a/src/directory/certain-age.test.ts
+++ b/src/directory/confirmed-age.test.ts
@@ -33,10 +33,10 @@
     announce: () => node,
     logger: createLogger({ level: 'silent' }),
   });
-  expect(watcher.certainAgeMs).toBe(Infinity);
+  expect(watcher.confirmedAgeMs).toBe(Infinity);
   watcher.start();
   await waitUntil('answered', () => answers > 2, 2_000);
   watcher.stop();
-  expect(watcher.ageMs).toBeLessThan(LEFT_FOR_MS / 2);
-  expect(watcher.certainAgeMs).toBeGreaterThanOrEqual(LEFT_FOR_MS);
+  expect(watcher.leaderContactAgeMs).toBeLessThan(LEFT_FOR_MS / 2);
+  expect(watcher.confirmedAgeMs).toBeGreaterThanOrEqual(LEFT_FOR_MS);
 });
--- a/src/directory/directory-watcher.ts
+++ b/src/directory/directory-watcher.ts
@@ -64,9 +64,9 @@
   private configurationIndex = 0;
   private readonly backends = new BackendCache();
   private clusterVersion = '';
-  private confirmedAt = Number.NEGATIVE_INFINITY;
+  private leaderAnsweredAt = Number.NEGATIVE_INFINITY;
   /** What is held was in force then, whoever led (monotonic, milliseconds). */
-  private certainAt = Number.NEGATIVE_INFINITY;
+  private confirmedAt = Number.NEGATIVE_INFINITY;
   private isConnected = false;
   private readonly stopping = new AbortController();
 
@@ -82,16 +82,16 @@
   }
 
   /** Time since a leader last answered, in milliseconds. */
-  get ageMs(): number {
-    return monotonicMs() - this.confirmedAt;
+  get leaderContactAgeMs(): number {
+    return monotonicMs() - this.leaderAnsweredAt;
   }
 
   /**
    * Time since a majority of the directory stood behind what is held, in milliseconds. What only one member told
    * may bring news, but makes nothing that is held any younger.
    */
-  get certainAgeMs(): number {
-    return monotonicMs() - this.certainAt;
+  get confirmedAgeMs(): number {
+    return monotonicMs() - this.confirmedAt;
   }
 
   private async run(): Promise<void> {
@@ -105,11 +105,11 @@
         const askedAt = monotonicMs();
         const view = await this.options.client.watch(this.request(isUrgent), WATCH_LIMITS);
         backoff.reset();
-        this.confirmedAt = askedAt;
+        this.leaderAnsweredAt = askedAt;
         isUrgent = false;
         this.noteConnected(true, '');
         this.take(view);
-        this.certainAt = Math.max(this.certainAt, askedAt - view.confirmedAgeMs);
+        this.confirmedAt = Math.max(this.confirmedAt, askedAt - view.confirmedAgeMs);
       } catch (error) {
         isUrgent = true;
         this.noteConnected(false, describeError(error));
@@ -127,8 +127,8 @@
     while (!signal.aborted) {
       const spreadMs = Math.random() * (MAX_MEMBER_POLL_INTERVAL_MS - MEMBER_INTERVAL_MS);
       await sleep(MEMBER_INTERVAL_MS + spreadMs, signal);
-      const hasHeardLeader = Number.isFinite(this.confirmedAt);
-      if (hasHeardLeader && this.ageMs > LEADER_OVERDUE_MS) await this.askMember();
+      const hasHeardLeader = Number.isFinite(this.leaderAnsweredAt);
+      if (hasHeardLeader && this.leaderContactAgeMs > LEADER_OVERDUE_MS) await this.askMember();
     }
   }
 
@@ -172,7 +172,7 @@
     if (configuration) this.takeConfiguration(configuration);
     if (!backends || backends.index <= this.backends.index) return;
     const { index } = backends;
-    const leaderAgeMs = Math.round(this.ageMs);
+    const leaderAgeMs = Math.round(this.leaderContactAgeMs);
     this.options.logger.info('back ends told by a member', { index, leaderAgeMs });
     this.backends.apply(backends);
     this.options.onBackends?.(this.backends.records());
@@ -183,7 +183,7 @@
     const configuration = unpackRoutes(routes);
     this.configurationIndex = index;
     const { generation } = configuration;
-    const leaderAgeMs = Math.round(this.ageMs);
+    const leaderAgeMs = Math.round(this.leaderContactAgeMs);
     this.options.logger.info('configuration in force', { generation, leaderAgeMs });
     this.options.onConfiguration?.(configuration);
   }
--- a/src/nodes/gateway-node.ts
+++ b/src/nodes/gateway-node.ts
@@ -79,7 +79,7 @@
     this.forwarder = new CallForwarder({
       routes: () => this.routes,
       waitForRoutes: (timeoutMs) => this.routesArrived.waitUpTo(timeoutMs),
-      directoryAgeMs: () => this.watcher.ageMs,
+      directoryAgeMs: () => this.watcher.leaderContactAgeMs,
       access: (route, key) => decideAccess(route, key, this.keyKnowledge),
       quotas: this.quotas,
       backends: this.backends,
@@ -137,7 +137,7 @@
 
   private get keyKnowledge(): KeyKnowledge {
     const { tenants, keyLeaseMs: leaseMs } = this;
-    return { tenants, ageMs: this.watcher.certainAgeMs, leaseMs };
+    return { tenants, ageMs: this.watcher.confirmedAgeMs, leaseMs };
   }
 
   /** How old this gateway's knowledge is, and which configuration it acts by. */
@@ -147,7 +147,7 @@
     add(
       'age_seconds',
       "Time since the directory's leader last answered",
-      () => this.watcher.ageMs / 1_000,
+      () => this.watcher.leaderContactAgeMs / 1_000,
     );
     add(
       'generation',
