--- a/src/directory/directory-leader.ts
+++ b/src/directory/directory-leader.ts
@@ -146,7 +146,7 @@
   async recordHeartbeat(registration: BackendRegistration): Promise<void> {
     const { id, service, phase, address } = registration;
     this.heartbeats.note(id);
-    if (this.stateMachine.isNews(registration)) {
+    if (this.stateMachine.isChange(registration)) {
       await this.propose({ kind: 'register-backend', registration });
       this.options.logger.info('back end registered', { id, service, phase, address });
     }
--- a/src/directory/directory-state-machine.test.ts
+++ b/src/directory/directory-state-machine.test.ts
@@ -80,7 +80,7 @@
     machine.register({ id: 'i-2' });
     const copy = new DirectoryStateMachine();
     copy.restore(Buffer.concat([...machine.state.snapshot()]));
-    expect(copy.isNews(sampleRegistration({ sequence: 2 }))).toBe(false);
+    expect(copy.isChange(sampleRegistration({ sequence: 2 }))).toBe(false);
     expect(machine.register({ sequence: 2 })).toBe(false);
     expect([...machine.state.backends.keys()]).toEqual(['i-2']);
   });
@@ -157,7 +157,7 @@
     machine.register(after);
     const copy = new DirectoryStateMachine();
     copy.restore(Buffer.concat([...machine.state.snapshot()]));
-    expect(copy.isNews(sampleRegistration(late))).toBe(false);
+    expect(copy.isChange(sampleRegistration(late))).toBe(false);
     expect(machine.register(late)).toBe(false);
     expect(starts(machine)).toEqual([[2_000, 'ready']]);
   });
--- a/src/directory/directory-state-machine.ts
+++ b/src/directory/directory-state-machine.ts
@@ -138,7 +138,7 @@
   }
 
   /** Whether a registration would change what is kept of its back end. */
-  isNews(registration: BackendRegistration): boolean {
+  isChange(registration: BackendRegistration): boolean {
     if (this.state.departed.has(registration.id)) return false;
     const known = this.state.backends.get(registration.id);
     if (!known) return !this.isOutdated(registration);
@@ -232,7 +232,7 @@
   }
 
   private register(registration: BackendRegistration, index: number): DirectoryResult {
-    if (!this.isNews(registration)) return NOTHING_CHANGED;
+    if (!this.isChange(registration)) return NOTHING_CHANGED;
     const known = this.state.backends.get(registration.id);
     // A drain is final: a later "ready" of the same incarnation can only be a mistake.
     if (known?.phase === 'draining' && registration.phase === 'ready') return NOTHING_CHANGED;
