--- a/src/directory/change-history.ts
+++ b/src/directory/change-history.ts
@@ -18,14 +18,14 @@
   constructor(private readonly keptChanges = KEPT_CHANGES) {}
 
   /** @param index no lower than those before */
-  note(index: number, id: string): void {
+  record(index: number, id: string): void {
     this.changes.push({ index, id });
     // In large steps, since each takes as long as what is kept.
     if (this.changes.length > 2 * this.keptChanges) this.dropOldest();
   }
 
   /** Nothing is known of how the state came to be what it is at an index. */
-  restart(index: number): void {
+  reset(index: number): void {
     this.changes = [];
     this.completeAfter = index;
   }
--- a/src/directory/directory-state-machine.ts
+++ b/src/directory/directory-state-machine.ts
@@ -196,7 +196,7 @@
       retirements: new Map(encoded.retirements),
       quotaShares: quotaSharesOf(encoded.quotaShares),
     };
-    this.backendHistory.restart(this.state.backendsIndex);
+    this.backendHistory.reset(this.state.backendsIndex);
     this.onChange();
   }
 
@@ -242,7 +242,7 @@
     }
     this.replaceLost(registration, index);
     this.state.backends.set(registration);
-    this.backendHistory.note(index, id);
+    this.backendHistory.record(index, id);
     this.state.backendsIndex = index;
     return CHANGED;
   }
@@ -282,7 +282,7 @@
   }
 
   private takeOut(id: string, index: number): void {
-    if (this.state.backends.delete(id)) this.backendHistory.note(index, id);
+    if (this.state.backends.delete(id)) this.backendHistory.record(index, id);
   }
 
   /** Those that were lost at the address, or before this start, are over; this one is lost no more. */
--- a/src/directory/silent-backend-tracker.ts
+++ b/src/directory/silent-backend-tracker.ts
@@ -41,7 +41,7 @@
     ];
     if (changed.length === 0) return false;
     this.count += 1;
-    for (const id of changed) this.history.note(this.count, id);
+    for (const id of changed) this.history.record(this.count, id);
     this.silent = silent;
     this.packed.clear();
     return true;
@@ -51,7 +51,7 @@
   clear(): void {
     this.silent = new Set();
     this.count += 1;
-    this.history.restart(this.count);
+    this.history.reset(this.count);
     this.packed.clear();
   }
 
