--- a/src/directory/directory-client.ts
+++ b/src/directory/directory-client.ts
@@ -22,7 +22,7 @@
   READ_CONFIGURATION,
   REMOVE_BACKEND,
   RETIREMENT_STATE,
-  type RetirementAnswer,
+  type RetirementResponse,
   START_RETIREMENT,
   WATCH,
   type WatchRequest,
@@ -63,7 +63,7 @@
     await this.call(REMOVE_BACKEND, incarnation, REGISTRATION_TIMEOUT_MS);
   }
 
-  startRetirement(node: string): Promise<RetirementAnswer> {
+  startRetirement(node: string): Promise<RetirementResponse> {
     return this.call(START_RETIREMENT, { node }, READ_TIMEOUT_MS);
   }
 
--- a/src/directory/directory-leader.ts
+++ b/src/directory/directory-leader.ts
@@ -21,7 +21,7 @@
   KnownVersions,
   NodeAnnouncement,
   PutConfigurationRequest,
-  RetirementAnswer,
+  RetirementResponse,
   WatchRequest,
 } from './messages.js';
 import { NotificationThrottle } from './notification-throttle.js';
@@ -164,7 +164,7 @@
   }
 
   /** @throws RosterIncompleteError while this leader cannot tell which machines there are */
-  async startRetirement(node: string): Promise<RetirementAnswer> {
+  async startRetirement(node: string): Promise<RetirementResponse> {
     if (this.stateMachine.retirements.has(node)) return 'accepted';
     const known = this.roster.find(node);
     const isNew = monotonicMs() - (this.group?.leadingSince ?? 0) < ROSTER_COMPLETE_AFTER_MS;
--- a/src/directory/messages.ts
+++ b/src/directory/messages.ts
@@ -103,13 +103,13 @@
   confirmedAgeMs: number;
 }
 
-export type RetirementAnswer = 'accepted' | 'unknown-node' | 'too-few-left';
+export type RetirementResponse = 'accepted' | 'unknown-node' | 'too-few-left';
 
 export interface RetirementRequest {
   node: string;
 }
 
-export interface ReadConfigurationAnswer {
+export interface ReadConfigurationResponse {
   source?: string;
 }
 
@@ -138,9 +138,9 @@
 >('directory.put-configuration');
 export const READ_CONFIGURATION = defineMethod<
   Record<string, never>,
-  LeaderAnswer<ReadConfigurationAnswer>
+  LeaderAnswer<ReadConfigurationResponse>
 >('directory.read-configuration');
-export const START_RETIREMENT = defineMethod<RetirementRequest, LeaderAnswer<RetirementAnswer>>(
+export const START_RETIREMENT = defineMethod<RetirementRequest, LeaderAnswer<RetirementResponse>>(
   'directory.start-retirement',
 );
 export const RETIREMENT_STATE = defineMethod<
