--- a/lab/directory/profile-purposes.ts
+++ b/lab/directory/profile-purposes.ts
@@ -48,7 +48,7 @@
   },
   {
     name: 'answers to watchers',
-    pattern: /directory-leader\S* \S|load-report-store|gateway-confirmations|event-loop-throttle/,
+    pattern: /directory-leader\S* \S|load-board|gateway-confirmations|answer-turns/,
   },
   { name: 'heartbeats: HTTP', pattern: /node:_?http|node:internal\/(http|streams)|control-host/ },
   {
--- a/src/directory/directory-leader.ts
+++ b/src/directory/directory-leader.ts
@@ -6,7 +6,7 @@
 import type { ReplicatedGroup } from '../consensus/index.js';
 import type { Logger } from '../observability/index.js';
 import { encodeValue } from '../wire/index.js';
-import { EventLoopThrottle } from './event-loop-throttle.js';
+import { EventLoopThrottle } from './answer-turns.js';
 import type { BackendRegistration } from './backend-registration.js';
 import type { DirectoryCommand } from './directory-commands.js';
 import { DirectoryStateMachine, type RetirementState } from './directory-state-machine.js';
@@ -14,7 +14,7 @@
 import { HeartbeatTable } from './heartbeat-table.js';
 import type { Incarnation } from './incarnation.js';
 import { LedgerBootstrap } from './ledger-bootstrap.js';
-import { LoadReportStore } from './load-report-store.js';
+import { LoadReportStore } from './load-board.js';
 import type {
   ClusterView,
   DirectoryView,
--- a/src/directory/load-report-store.test.ts
+++ b/src/directory/load-board.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
-import { LoadReportStore } from './load-report-store.js';
+import { LoadReportStore } from './load-board.js';
 import { loadsOfOtherGateways } from './load-totals.js';
 import type { BackendLoad } from './messages.js';
 
