--- a/src/forwarding/call-log.ts
+++ b/src/forwarding/call-log.ts
@@ -29,17 +29,10 @@
 
 /** What a reservation went through; the leader's age is that of what this gateway knew before it asked. */
 export function describeSteps(steps: ReservationTrace): LogFields {
-  const {
-    times,
-    requestCount: questions,
-    knownLeader,
-    leader,
-    historyFrom,
-    failedStep: failed,
-  } = steps;
+  const { times, requestCount, knownLeader, leader, historyFrom, failedStep: failed } = steps;
   return {
     reserveParts: describeTimes(times),
-    ledgerAsked: questions,
+    ledgerAsked: requestCount,
     leader: leader ?? knownLeader?.address,
     leaderAgeMs: knownLeader && Math.round(knownLeader.ageMs),
     historyFrom,
