--- a/src/ledger/kept-turn-index.ts
+++ b/src/ledger/kept-turn-index.ts
@@ -22,7 +22,7 @@
   private mayHoldOthers = true;
 
   /** Values that no turn of the state names yet. */
-  readonly unnamed = new UnreferencedValues();
+  readonly unreferenced = new UnreferencedValues();
 
   constructor(private readonly values: TurnValueStore) {}
 
@@ -51,7 +51,7 @@
    * @param keptAtIndex log index of the entry that brings it
    */
   keep(id: string, turn: KeptTurn | KeptTurnReference, nowMs: number, keptAtIndex = 0): void {
-    this.unnamed.noteNamed(id, keptAtIndex);
+    this.unreferenced.markApplied(id, keptAtIndex);
     if (this.turns.has(id)) return;
     const { previousTurn, retentionMs } = turn;
     const expiresAtMs = nowMs + retentionMs;
@@ -75,18 +75,18 @@
 
   /** @param appliedIndex log index up to which the state is applied */
   expire(nowMs: number, appliedIndex: number): void {
-    for (const id of this.unnamed.expire(appliedIndex)) {
+    for (const id of this.unreferenced.expire(appliedIndex)) {
       if (!this.turns.has(id)) this.values.delete(id);
     }
     for (const [id, turn] of this.turns) {
       if (turn.expiresAtMs >= nowMs) continue;
       this.turns.delete(id);
       // A turn that was settled again is named by an entry that is still to be applied.
-      if (!this.unnamed.has(id)) this.values.delete(id);
+      if (!this.unreferenced.has(id)) this.values.delete(id);
     }
     if (!this.mayHoldOthers) return;
     this.mayHoldOthers = false;
-    this.values.retain((id) => this.turns.has(id) || this.unnamed.has(id));
+    this.values.retain((id) => this.turns.has(id) || this.unreferenced.has(id));
   }
 
   /** All turns as they are now, encoded in groups of `groupSize` as they are asked for. */
@@ -104,7 +104,7 @@
         { previousTurn: previousTurn ?? undefined, expiresAtMs, keptAtIndex: 0 },
       ]),
     );
-    for (const id of this.turns.keys()) this.unnamed.noteNamed(id, Number.POSITIVE_INFINITY);
+    for (const id of this.turns.keys()) this.unreferenced.markApplied(id, Number.POSITIVE_INFINITY);
     this.mayHoldOthers = true;
   }
 
--- a/src/ledger/turn-history-store.ts
+++ b/src/ledger/turn-history-store.ts
@@ -134,7 +134,7 @@
 
   /** Takes a value ahead of the entry that names it. */
   takeCopy(turn: string, value: Uint8Array): void {
-    if (this.options.turns.unnamed.bytes >= MOST_UNNAMED_BYTES) return;
+    if (this.options.turns.unreferenced.bytes >= MOST_UNNAMED_BYTES) return;
     this.put(turn, value);
     this.copyArrived.notify();
   }
@@ -169,7 +169,7 @@
       for (const [place, turn] of this.options.turnIdsInEntry(entry).entries()) {
         const value = entry.attachments?.[place];
         if (value && value.length > 0) this.put(turn, value);
-        turns.unnamed.noteLogged(turn, entry.index);
+        turns.unreferenced.markLogged(turn, entry.index);
       }
     }
   }
@@ -191,7 +191,7 @@
 
   private put(turn: string, value: Uint8Array): void {
     const { turns, values } = this.options;
-    if (!turns.has(turn)) turns.unnamed.noteHeld(turn, value.length);
+    if (!turns.has(turn)) turns.unreferenced.markStored(turn, value.length);
     // Memory of its own, since what was received is a view of a frame that holds much else.
     if (!values.has(turn)) values.put(turn, Buffer.from(value));
   }
--- a/src/ledger/unreferenced-values.test.ts
+++ b/src/ledger/unreferenced-values.test.ts
@@ -12,7 +12,7 @@
 describe('a value that no entry has named', () => {
   it('expires once, after its time', () => {
     const { clock, unnamed } = startedAt(0);
-    unnamed.noteHeld('a', 10);
+    unnamed.markStored('a', 10);
     expect(unnamed.expire(100)).toEqual([]);
     clock.nowMs = LONGER_THAN_ANY_WAIT_MS;
     expect(unnamed.expire(100)).toEqual(['a']);
@@ -22,8 +22,8 @@
 
   it('stays for as long as an entry that names it may still be applied', () => {
     const { clock, unnamed } = startedAt(0);
-    unnamed.noteHeld('a', 10);
-    unnamed.noteLogged('a', 7);
+    unnamed.markStored('a', 10);
+    unnamed.markLogged('a', 7);
     expect(unnamed.bytes).toBe(10);
     clock.nowMs = LONGER_THAN_ANY_WAIT_MS;
     expect(unnamed.expire(6)).toEqual([]);
@@ -34,8 +34,8 @@
 
   it('does not lose its entry when it arrives once more', () => {
     const { clock, unnamed } = startedAt(0);
-    unnamed.noteLogged('a', 7);
-    unnamed.noteHeld('a', 10);
+    unnamed.markLogged('a', 7);
+    unnamed.markStored('a', 10);
     clock.nowMs = LONGER_THAN_ANY_WAIT_MS;
     expect(unnamed.expire(6)).toEqual([]);
   });
@@ -43,17 +43,17 @@
 
 it('a value whose entry was applied is no longer waited for', () => {
   const { clock, unnamed } = startedAt(0);
-  unnamed.noteLogged('a', 7);
-  unnamed.noteNamed('a', 7);
+  unnamed.markLogged('a', 7);
+  unnamed.markApplied('a', 7);
   clock.nowMs = LONGER_THAN_ANY_WAIT_MS;
   expect(unnamed.expire(7)).toEqual([]);
 });
 
 it('a value is waited for while a later entry names it than the one that was applied', () => {
   const { unnamed } = startedAt(0);
-  unnamed.noteLogged('a', 7);
-  unnamed.noteNamed('a', 5);
+  unnamed.markLogged('a', 7);
+  unnamed.markApplied('a', 5);
   expect(unnamed.has('a')).toBe(true);
-  unnamed.noteNamed('a', 7);
+  unnamed.markApplied('a', 7);
   expect(unnamed.has('a')).toBe(false);
 });
--- a/src/ledger/unreferenced-values.ts
+++ b/src/ledger/unreferenced-values.ts
@@ -18,7 +18,7 @@
 }
 
 export class UnreferencedValues {
-  private readonly unnamed = new Map<string, UnnamedValue>();
+  private readonly values = new Map<string, UnnamedValue>();
   /** Bytes of all values together. */
   bytes = 0;
 
@@ -26,24 +26,24 @@
   constructor(private readonly now: () => number = monotonicMs) {}
 
   has(turn: string): boolean {
-    return this.unnamed.has(turn);
+    return this.values.has(turn);
   }
 
   /** A value was put, or is about to be. */
-  noteHeld(turn: string, bytes: number): void {
-    const loggedAt = this.unnamed.get(turn)?.loggedAt;
+  markStored(turn: string, bytes: number): void {
+    const loggedAt = this.values.get(turn)?.loggedAt;
     this.set(turn, { since: this.now(), bytes, loggedAt });
   }
 
   /** An entry that names it stands in this member's log. */
-  noteLogged(turn: string, index: number): void {
-    const bytes = this.unnamed.get(turn)?.bytes ?? 0;
+  markLogged(turn: string, index: number): void {
+    const bytes = this.values.get(turn)?.bytes ?? 0;
     this.set(turn, { since: this.now(), bytes, loggedAt: index });
   }
 
   /** The entry at a log index was applied; one behind it may name the turn once more. */
-  noteNamed(turn: string, index: number): void {
-    const { loggedAt = 0 } = this.unnamed.get(turn) ?? {};
+  markApplied(turn: string, index: number): void {
+    const { loggedAt = 0 } = this.values.get(turn) ?? {};
     if (loggedAt <= index) this.remove(turn);
   }
 
@@ -54,7 +54,7 @@
   expire(appliedIndex: number): string[] {
     const expired: string[] = [];
     const before = this.now() - LONGEST_WAIT_MS;
-    for (const [turn, { since, loggedAt = 0 }] of this.unnamed) {
+    for (const [turn, { since, loggedAt = 0 }] of this.values) {
       if (since > before || loggedAt > appliedIndex) continue;
       this.remove(turn);
       expired.push(turn);
@@ -64,12 +64,12 @@
 
   private set(turn: string, value: UnnamedValue): void {
     this.remove(turn);
-    this.unnamed.set(turn, value);
+    this.values.set(turn, value);
     this.bytes += value.bytes;
   }
 
   private remove(turn: string): void {
-    this.bytes -= this.unnamed.get(turn)?.bytes ?? 0;
-    this.unnamed.delete(turn);
+    this.bytes -= this.values.get(turn)?.bytes ?? 0;
+    this.values.delete(turn);
   }
 }
