--- a/src/ledger/ledger-client.ts
+++ b/src/ledger/ledger-client.ts
@@ -306,16 +306,16 @@
     request: Request,
     limits: GroupCallOptions,
   ): Promise<Answer> {
-    this.outage.noteAsked();
+    this.outage.recordRequest();
     try {
       const paced = { ...limits, maximumPauseMs: MAXIMUM_PAUSE_MS };
       const answer = await callLeader(this.groups, LEDGER_GROUP, method, request, paced);
-      this.outage.noteAnswered();
+      this.outage.recordResponse();
       this.latestRefusal = undefined;
       return answer;
     } catch (error) {
       // A leader that refuses all for long is waited for no longer than one that is away, and asked by as few.
-      this.outage.noteFailed();
+      this.outage.recordFailure();
       this.latestRefusal = error instanceof LeaderRefusedError ? error.refusal : undefined;
       throw error;
     }
--- a/src/ledger/outage-estimator.test.ts
+++ b/src/ledger/outage-estimator.test.ts
@@ -43,14 +43,14 @@
   const outcome: Outcome = { served: 0, wastedMs: 0 };
   for (let outage = 0; outage < OUTAGES; outage += 1) {
     const lastsMs = drawOutageMs(random);
-    estimate.noteAsked();
+    estimate.recordRequest();
     for (let atMs = 0; atMs < lastsMs; atMs += CALL_INTERVAL_MS) {
       const waitMs = waitOf(estimate);
       if (lastsMs - atMs <= waitMs) outcome.served += 1;
       else outcome.wastedMs += waitMs;
       vi.advanceTimersByTime(CALL_INTERVAL_MS);
     }
-    estimate.noteAnswered();
+    estimate.recordResponse();
     vi.advanceTimersByTime(QUIET_MS);
   }
   return outcome;
@@ -59,22 +59,22 @@
 describe('an estimate of outages', () => {
   it('expects what outages have lasted and, past that, as long again', () => {
     const estimate = new OutageEstimator();
-    estimate.noteAsked();
+    estimate.recordRequest();
     expect(estimate.remainingMs).toBe(0);
     vi.advanceTimersByTime(400);
     expect(estimate.remainingMs).toBe(400);
     vi.advanceTimersByTime(1_000);
     expect(estimate.remainingMs).toBe(1_400);
-    estimate.noteAnswered();
+    estimate.recordResponse();
     expect(estimate.remainingMs).toBe(0);
   });
 
   it('lets nobody wait for what will hardly come in time, and believes old failures no more', () => {
     const estimate = new OutageEstimator();
-    estimate.noteAsked();
+    estimate.recordRequest();
     vi.advanceTimersByTime(4_000);
     expect(estimate.waitMs(CALL_TIME_MS)).toBe(0);
-    estimate.noteFailed();
+    estimate.recordFailure();
     expect(estimate.waitMs(CALL_TIME_MS)).toBe(0);
     vi.advanceTimersByTime(1_000);
     expect(estimate.waitMs(CALL_TIME_MS)).toBeGreaterThan(1_000);
--- a/src/ledger/outage-estimator.ts
+++ b/src/ledger/outage-estimator.ts
@@ -21,20 +21,20 @@
   private typicalMs = FIRST_GUESS_MS;
 
   /** A question goes out. */
-  noteAsked(): void {
+  recordRequest(): void {
     if (!this.isValid) this.unansweredSince = undefined;
     this.unansweredSince ??= monotonicMs();
     this.outstanding += 1;
   }
 
   /** A question was given up without an answer. */
-  noteFailed(): void {
+  recordFailure(): void {
     this.outstanding -= 1;
     this.failedAt = monotonicMs();
   }
 
   /** A leader has answered. */
-  noteAnswered(): void {
+  recordResponse(): void {
     const lastedMs = this.silenceMs;
     this.outstanding -= 1;
     this.unansweredSince = undefined;
