--- a/src/ledger/allowance-tracker.ts
+++ b/src/ledger/allowance-tracker.ts
@@ -40,7 +40,7 @@
   }
 
   /** The turn is over: what it did not spend may be taken again. */
-  giveBack(program: string, unspentTokens: number): void {
+  refund(program: string, unspentTokens: number): void {
     const allowance = this.allowances.get(program);
     if (allowance) allowance.availableTokens += Math.max(0, unspentTokens);
   }
--- a/src/ledger/ledger-client.ts
+++ b/src/ledger/ledger-client.ts
@@ -134,7 +134,7 @@
    */
   drawFromAllowance(settlement: Settlement, takenTokens: number): Settlement {
     const { program, spentTokens } = settlement;
-    this.allowances.giveBack(program, takenTokens - spentTokens);
+    this.allowances.refund(program, takenTokens - spentTokens);
     return { ...settlement, draw: { holder: this.holder, tokens: spentTokens } };
   }
 
--- a/src/ledger/ledger.test.ts
+++ b/src/ledger/ledger.test.ts
@@ -209,7 +209,7 @@
           if (ledgerIsAway) {
             if (!book.take('p', 100)) continue;
             received += spent;
-            book.giveBack('p', 100 - spent);
+            book.refund('p', 100 - spent);
             if (!settles) continue;
             ledger.settle(attempt, spent, { holder: gateway, tokens: spent });
             book.confirm('p');
