--- a/src/ledger/loss-reports.ts
+++ b/src/ledger/loss-reports.ts
@@ -9,7 +9,7 @@
   private readonly voters = new Map<string, Set<string>>();
 
   /** @param answeredBy identity of the member that answered at the asked one's address */
-  note({ id, role }: Member, answeredBy: string | undefined, turns: readonly string[]): void {
+  add({ id, role }: Member, answeredBy: string | undefined, turns: readonly string[]): void {
     if (role !== 'voter' || answeredBy !== id) return;
     for (const turn of turns) {
       const known = this.voters.get(turn);
@@ -19,7 +19,7 @@
   }
 
   /** Turns whose values more than half of the voters among these members have lost. */
-  lostByMostOf(members: readonly Member[]): string[] {
+  lostByMajorityOf(members: readonly Member[]): string[] {
     const voterCount = members.filter(({ role }) => role === 'voter').length;
     return [...this.voters]
       .filter(([, reporters]) => reporters.size > voterCount / 2)
--- a/src/ledger/turn-history-store.ts
+++ b/src/ledger/turn-history-store.ts
@@ -179,7 +179,7 @@
     const wanted = new Set(this.options.turnIdsInSnapshot(state).filter(isMissing));
     if (wanted.size === 0) return;
     const reports = await this.fetch(wanted, sources, index);
-    this.giveUp(reports.lostByMostOf(sources), wanted);
+    this.giveUp(reports.lostByMajorityOf(sources), wanted);
     if (wanted.size > 0) throw missingError(wanted.size);
   }
 
@@ -257,7 +257,7 @@
       if (wanted.size === 0) break;
       try {
         const { answeredBy, lost } = await this.fetchFrom(source.address, wanted, atIndex);
-        reports.note(source, answeredBy, lost);
+        reports.add(source, answeredBy, lost);
       } catch (error) {
         const cause = describeError(error);
         this.options.logger.warn('kept turns not fetched', { peer: source.address, cause });
