--- a/src/ledger/ledger-service.ts
+++ b/src/ledger/ledger-service.ts
@@ -74,7 +74,7 @@
     );
     router.handle(READ_HISTORY, (request) => this.readHistory(request));
     router.handle(TAKE_COPY, ({ turn, value }) =>
-      this.options.stateMachine.external.takeCopy(turn, value),
+      this.options.stateMachine.external.storeCopy(turn, value),
     );
     router.handle(READ_TURNS, (request) => this.readTurns(request));
   }
--- a/src/ledger/turn-history-store.test.ts
+++ b/src/ledger/turn-history-store.test.ts
@@ -229,8 +229,8 @@
     members.add('leader');
     const obtained = follower.external.attach([entryNaming('a', 'b')], members.sources, true);
     await sleep(10);
-    follower.external.takeCopy('a', textOf('a'));
-    follower.external.takeCopy('b', textOf('b'));
+    follower.external.storeCopy('a', textOf('a'));
+    follower.external.storeCopy('b', textOf('b'));
     const [entry] = await obtained;
     expect(entry!.attachments).toEqual([textOf('a'), textOf('b')]);
     expect(members.requests).toEqual([]);
@@ -253,7 +253,7 @@
     const members = new Members();
     const follower = members.add('follower');
     const large = Buffer.alloc(1_000_000);
-    for (let turn = 0; turn < 20; turn += 1) follower.external.takeCopy(`t${turn}`, large);
+    for (let turn = 0; turn < 20; turn += 1) follower.external.storeCopy(`t${turn}`, large);
     expect(members.values.get('follower')!.values.size).toBe(5);
   });
 
--- a/src/ledger/turn-history-store.ts
+++ b/src/ledger/turn-history-store.ts
@@ -133,7 +133,7 @@
   }
 
   /** Takes a value ahead of the entry that names it. */
-  takeCopy(turn: string, value: Uint8Array): void {
+  storeCopy(turn: string, value: Uint8Array): void {
     if (this.options.turns.unreferenced.bytes >= MOST_UNNAMED_BYTES) return;
     this.put(turn, value);
     this.copyArrived.notify();
