--- a/src/ledger/lagging-member-power-loss.test.ts
+++ b/src/ledger/lagging-member-power-loss.test.ts
@@ -63,7 +63,7 @@
     const uncommitted = settle(7, LATER_MS, ['new']);
     const leader = createState(() => Promise.reject(new Error('the leader asks nobody')));
     for (const { data, index } of [kept, sweeping]) leader.apply(data, index);
-    await leader.external.hold(new Map([['new', Buffer.from('value')]]));
+    await leader.external.storeValues(new Map([['new', Buffer.from('value')]]));
     const follower = createState(async (request) => {
       const isStateLateEnough = request.atIndex !== undefined && request.atIndex <= sweeping.index;
       return leader.external.answer(request, isStateLateEnough);
@@ -86,11 +86,11 @@
     const kept = settle(5, 0, ['turn']);
     const sweeping = settle(6, LATER_MS, []);
     const again = settle(7, LATER_MS, ['turn']);
-    await external.hold(new Map([['turn', value]]));
+    await external.storeValues(new Map([['turn', value]]));
     external.noteLogged([kept]);
     state.apply(kept.data, kept.index);
     external.noteLogged([sweeping]);
-    await external.hold(new Map([['turn', value]]));
+    await external.storeValues(new Map([['turn', value]]));
     external.noteLogged([again]);
     state.apply(sweeping.data, sweeping.index);
     expect((await external.attach([again], [LEADER], false))[0]?.attachments).toEqual([value]);
@@ -111,7 +111,7 @@
     const nobody = (): Promise<ReadTurnsResponse> => Promise.reject(new Error('nobody else runs'));
     const values = new MemoryValues();
     const before = createState(nobody, values);
-    await before.external.hold(new Map([['over', Buffer.from('value')]]));
+    await before.external.storeValues(new Map([['over', Buffer.from('value')]]));
     const kept = settle(5, 0, ['over']);
     before.external.noteLogged([kept]);
     before.apply(kept.data, kept.index);
--- a/src/ledger/ledger-service.ts
+++ b/src/ledger/ledger-service.ts
@@ -147,7 +147,7 @@
     if (!isCopied) this.sendCopies(values, targets.addresses);
     const settlements = received.map(withoutValue);
     const command: LedgerCommand = { kind: 'settle', settlements, nowMs: this.nowMs(group) };
-    await this.options.stateMachine.external.hold(values);
+    await this.options.stateMachine.external.storeValues(values);
     await group.propose(encodeValue(command), [...values.values()]);
     return { isSettled: true, copyTargets: isCopied ? undefined : targets };
   }
--- a/src/ledger/turn-history-store.test.ts
+++ b/src/ledger/turn-history-store.test.ts
@@ -240,7 +240,7 @@
     const members = new Members();
     const follower = members.add('follower');
     const leader = members.add('leader');
-    await leader.external.hold(new Map([['a', textOf('a')]]));
+    await leader.external.storeValues(new Map([['a', textOf('a')]]));
     const sources = members.sources.filter(({ id }) => id === 'leader');
     const entries = [entryNaming('a')];
     const both = [1, 2].map(() => follower.external.attach(entries, sources, true));
@@ -261,7 +261,7 @@
     const members = new Members();
     const learner = members.add('learner');
     const voter = members.add('voter');
-    await voter.external.hold(new Map([['a', textOf('a')]]));
+    await voter.external.storeValues(new Map([['a', textOf('a')]]));
     const startedAt = monotonicMs();
     await learner.external.attach([entryNaming('a')], members.sources, false);
     expect(monotonicMs() - startedAt).toBeLessThan(50);
--- a/src/ledger/turn-history-store.ts
+++ b/src/ledger/turn-history-store.ts
@@ -140,7 +140,7 @@
   }
 
   /** Takes values at the leader, ahead of the entry that names them. */
-  async hold(values: ReadonlyMap<string, Buffer>): Promise<void> {
+  async storeValues(values: ReadonlyMap<string, Buffer>): Promise<void> {
     await this.options.values.waitForRoom();
     for (const [turn, value] of values) this.put(turn, value);
   }
