--- a/src/ledger/ledger-state-machine.ts
+++ b/src/ledger/ledger-state-machine.ts
@@ -118,7 +118,7 @@
     const { program, attempt, keep, placement } = settlement;
     this.budgets.settle(settlement, this.clock);
     if (keep) this.turns.keep(attempt, keep, this.clock, this.index);
-    if (placement) this.placements.note(program, placement, this.clock);
+    if (placement) this.placements.record(program, placement, this.clock);
   }
 
   private sweep(): void {
--- a/src/ledger/program-placements.ts
+++ b/src/ledger/program-placements.ts
@@ -29,7 +29,7 @@
 export class ProgramPlacements {
   private programs = new Map<string, ProgramEntry>();
 
-  note(program: string, { session, backend }: TurnPlacement, nowMs: number): void {
+  record(program: string, { session, backend }: TurnPlacement, nowMs: number): void {
     let entry = this.programs.get(program);
     if (!entry) {
       entry = { latestBackend: backend, bySession: new Map(), notedAtMs: nowMs };
