--- a/src/journal/journal-state.ts
+++ b/src/journal/journal-state.ts
@@ -40,7 +40,7 @@
     if (pending.size > 0) this.releases.set(programId, pending);
   }
 
-  noteReleased(programId: string, backend: string): void {
+  confirmRelease(programId: string, backend: string): void {
     const pending = this.releases.get(programId);
     pending?.delete(backend);
     if (pending?.size === 0) this.releases.delete(programId);
--- a/src/journal/lifecycle.ts
+++ b/src/journal/lifecycle.ts
@@ -48,7 +48,7 @@
 }
 
 export function applyReleased(state: JournalState, command: ReleasedCommand): EndResult {
-  state.noteReleased(command.programId, command.backend);
+  state.confirmRelease(command.programId, command.backend);
   return { status: 'ended' };
 }
 
