--- a/src/nodes/engine-flags.ts
+++ b/src/nodes/engine-flags.ts
@@ -14,7 +14,7 @@
 const WEBASSEMBLY_FLAG = '--liftoff-only';
 
 /** Call it after the role's modules are loaded and before its first connection. */
-export function setEngineFlags(): void {
+export function setV8Flags(): void {
   setFlagsFromString(WEBASSEMBLY_FLAG);
 }
 
