--- a/src/nodes/journal-budget.test.ts
+++ b/src/nodes/journal-budget.test.ts
@@ -3,7 +3,7 @@
 import { sleep } from '../common/index.js';
 import { createLogger } from '../observability/index.js';
 import { journalBudget } from './journal-budget.js';
-import { MemoryGuard } from './memory-guard.js';
+import { MemoryPressureMonitor } from './memory-guard.js';
 
 const MIB = 1024 * 1024;
 
@@ -28,7 +28,7 @@
 describe('the guard of a process', () => {
   it('refuses work while too much is used, and takes it again after', async () => {
     let used = 50;
-    const guard = new MemoryGuard(100, createLogger({ test: 'guard' }), () => used);
+    const guard = new MemoryPressureMonitor(100, createLogger({ test: 'guard' }), () => used);
     expect(guard.isTight()).toBe(false);
     used = 150;
     await sleep(250);
@@ -40,8 +40,8 @@
 
   it('measures heap and buffers of this process', () => {
     const logger = createLogger({ test: 'guard' });
-    expect(new MemoryGuard(1, logger).isTight()).toBe(true);
-    expect(new MemoryGuard(64 * 1024 * MIB, logger).isTight()).toBe(false);
-    expect(new MemoryGuard(undefined, logger).isTight()).toBe(false);
+    expect(new MemoryPressureMonitor(1, logger).isTight()).toBe(true);
+    expect(new MemoryPressureMonitor(64 * 1024 * MIB, logger).isTight()).toBe(false);
+    expect(new MemoryPressureMonitor(undefined, logger).isTight()).toBe(false);
   });
 });
--- a/src/nodes/journal-node.ts
+++ b/src/nodes/journal-node.ts
@@ -15,7 +15,7 @@
 import type { NodeHooks } from './control-node.js';
 import { GroupMemberProcess } from './group-member-process.js';
 import { type JournalBudget, journalBudget } from './journal-budget.js';
-import { MemoryGuard } from './memory-guard.js';
+import { MemoryPressureMonitor } from './memory-guard.js';
 import { GROUP_TIMING, type NodeSettings } from './node-settings.js';
 
 const RETIREMENT_CHECK_MS = 150;
@@ -87,7 +87,7 @@
     const controlClient = new GroupClient({ peers, addresses: settings.controlSeeds });
     const ledgerClient = new GroupClient({ peers, addresses: [] });
     const directory = new DirectoryClient(controlClient);
-    const memory = new MemoryGuard(budget.total, logger);
+    const memory = new MemoryPressureMonitor(budget.total, logger);
     const service = new LedgerService({
       peers,
       stateMachine,
--- a/src/nodes/memory-guard.ts
+++ b/src/nodes/memory-guard.ts
@@ -6,7 +6,7 @@
 /** A reading is used for so long, in milliseconds: memory grows by a few MB in that time at most. */
 const READING_MS = 200;
 
-export class MemoryGuard {
+export class MemoryPressureMonitor {
   private readAt = Number.NEGATIVE_INFINITY;
   private isOver = false;
 
