--- a/src/nodes/journal-budget.test.ts
+++ b/src/nodes/journal-budget.test.ts
@@ -29,19 +29,19 @@
   it('refuses work while too much is used, and takes it again after', async () => {
     let used = 50;
     const guard = new MemoryPressureMonitor(100, createLogger({ test: 'guard' }), () => used);
-    expect(guard.isTight()).toBe(false);
+    expect(guard.isUnderPressure()).toBe(false);
     used = 150;
     await sleep(250);
-    expect(guard.isTight()).toBe(true);
+    expect(guard.isUnderPressure()).toBe(true);
     used = 60;
     await sleep(250);
-    expect(guard.isTight()).toBe(false);
+    expect(guard.isUnderPressure()).toBe(false);
   });
 
   it('measures heap and buffers of this process', () => {
     const logger = createLogger({ test: 'guard' });
-    expect(new MemoryPressureMonitor(1, logger).isTight()).toBe(true);
-    expect(new MemoryPressureMonitor(64 * 1024 * MIB, logger).isTight()).toBe(false);
-    expect(new MemoryPressureMonitor(undefined, logger).isTight()).toBe(false);
+    expect(new MemoryPressureMonitor(1, logger).isUnderPressure()).toBe(true);
+    expect(new MemoryPressureMonitor(64 * 1024 * MIB, logger).isUnderPressure()).toBe(false);
+    expect(new MemoryPressureMonitor(undefined, logger).isUnderPressure()).toBe(false);
   });
 });
--- a/src/nodes/journal-node.ts
+++ b/src/nodes/journal-node.ts
@@ -92,7 +92,7 @@
       peers,
       stateMachine,
       findGroup: () => member.group,
-      isUnderMemoryPressure: () => memory.isTight(),
+      isUnderMemoryPressure: () => memory.isUnderPressure(),
     });
     service.registerHandlers(member.router);
     const node: JournalNode = new JournalNode(
--- a/src/nodes/memory-guard.ts
+++ b/src/nodes/memory-guard.ts
@@ -18,7 +18,7 @@
   ) {}
 
   /** Whether new work should be refused for now. */
-  isTight(): boolean {
+  isUnderPressure(): boolean {
     if (this.limitBytes === undefined) return false;
     const now = monotonicMs();
     if (now - this.readAt < READING_MS) return this.isOver;
