--- a/src/nodes/journal-budget.test.ts
+++ b/src/nodes/journal-budget.test.ts
@@ -3,7 +3,7 @@
 import { sleep } from '../common/index.js';
 import { createLogger } from '../observability/index.js';
 import { journalBudget } from './journal-budget.js';
-import { MemoryPressureMonitor } from './memory-guard.js';
+import { MemoryPressureMonitor } from './memory-pressure-monitor.js';
 
 const MIB = 1024 * 1024;
 
--- a/src/nodes/journal-node.ts
+++ b/src/nodes/journal-node.ts
@@ -15,7 +15,7 @@
 import type { NodeHooks } from './control-node.js';
 import { GroupMemberProcess } from './group-member-process.js';
 import { type JournalBudget, journalBudget } from './journal-budget.js';
-import { MemoryPressureMonitor } from './memory-guard.js';
+import { MemoryPressureMonitor } from './memory-pressure-monitor.js';
 import { GROUP_TIMING, type NodeSettings } from './node-settings.js';
 
 const RETIREMENT_CHECK_MS = 150;
