--- a/src/nodes/control-node.ts
+++ b/src/nodes/control-node.ts
@@ -13,7 +13,7 @@
 import { QuotaLeader, type QuotaTolerance } from '../quotas/index.js';
 import type { Tenant } from '../routes/index.js';
 import { GroupMemberProcess } from './group-member-process.js';
-import { GROUP_TIMING, type NodeSettings, votersFor } from './node-settings.js';
+import { GROUP_TIMING, type NodeSettings, voterCountFor } from './node-settings.js';
 
 export interface NodeHooks {
   logger: Logger;
@@ -43,7 +43,7 @@
   static async start(settings: NodeSettings, hooks: NodeHooks): Promise<ControlNode> {
     const { logger, onFatal } = hooks;
     const leader: DirectoryLeader = new DirectoryLeader({
-      ledgerVoters: votersFor(settings.toleratedLosses),
+      ledgerVoters: voterCountFor(settings.toleratedLosses),
       heartbeatIntervalMs: settings.heartbeatIntervalMs,
       controlAddresses: () => memberAddresses(member),
       logger,
--- a/src/nodes/group-member-process.ts
+++ b/src/nodes/group-member-process.ts
@@ -19,7 +19,7 @@
 import { MethodRouter, RpcServer } from '../wire/index.js';
 import { MemberLoadLog } from './member-load-log.js';
 import { createMemberMetrics } from './node-metrics.js';
-import { type NodeSettings, hostOf, portOf, votersFor } from './node-settings.js';
+import { type NodeSettings, hostOf, portOf, voterCountFor } from './node-settings.js';
 
 export interface GroupMemberOptions {
   settings: NodeSettings;
@@ -119,7 +119,7 @@
     this.requireLog(group);
     this.group = group;
     this.keeper = new VoterKeeper(group, {
-      wishedVoters: votersFor(settings.toleratedLosses),
+      wishedVoters: voterCountFor(settings.toleratedLosses),
       isRetiring,
       logger,
     });
--- a/src/nodes/node-settings.ts
+++ b/src/nodes/node-settings.ts
@@ -45,7 +45,7 @@
 };
 
 /** Voters of a group that must outlive so many lost machines. */
-export function votersFor(toleratedLosses: number): number {
+export function voterCountFor(toleratedLosses: number): number {
   return 2 * toleratedLosses + 1;
 }
 
