--- a/lab/ledger/ledger-host.ts
+++ b/lab/ledger/ledger-host.ts
@@ -19,7 +19,7 @@
   READ_TURNS,
 } from '../../src/ledger/index.js';
 import { GroupMemberProcess } from '../../src/nodes/group-member-process.js';
-import { GROUP_TIMING } from '../../src/nodes/node-settings.js';
+import { CONSENSUS_TIMING } from '../../src/nodes/node-settings.js';
 import { ValueStore, openStoreFolder } from '../../src/value-store/index.js';
 import { SILENT } from '../silent-logger.js';
 
@@ -90,7 +90,7 @@
     },
     groupName: LEDGER_GROUP,
     stateMachine,
-    consensus: GROUP_TIMING,
+    consensus: CONSENSUS_TIMING,
     logQuotaBytes: undefined,
     isRetiring: () => false,
     onLeadershipChange: () => undefined,
--- a/src/nodes/control-node.ts
+++ b/src/nodes/control-node.ts
@@ -13,7 +13,7 @@
 import { QuotaLeader, type QuotaTolerance } from '../quotas/index.js';
 import type { Tenant } from '../routes/index.js';
 import { GroupMemberProcess } from './group-member-process.js';
-import { GROUP_TIMING, type NodeSettings, voterCountFor } from './node-settings.js';
+import { CONSENSUS_TIMING, type NodeSettings, voterCountFor } from './node-settings.js';
 
 export interface NodeHooks {
   logger: Logger;
@@ -52,7 +52,7 @@
       settings,
       groupName: DIRECTORY_GROUP,
       stateMachine: leader.stateMachine,
-      consensus: GROUP_TIMING,
+      consensus: CONSENSUS_TIMING,
       logQuotaBytes: settings.storageQuotaBytes,
       isRetiring: () => false,
       onLeadershipChange: () => leader.onLeadershipChange(),
--- a/src/nodes/journal-node.ts
+++ b/src/nodes/journal-node.ts
@@ -16,7 +16,7 @@
 import { GroupMemberProcess } from './group-member-process.js';
 import { type JournalBudget, journalBudget } from './journal-budget.js';
 import { MemoryPressureMonitor } from './memory-pressure-monitor.js';
-import { GROUP_TIMING, type NodeSettings } from './node-settings.js';
+import { CONSENSUS_TIMING, type NodeSettings } from './node-settings.js';
 
 const RETIREMENT_CHECK_MS = 150;
 /** Entries between two snapshots of the ledger. */
@@ -226,7 +226,7 @@
 
 function consensusOptions(budget: JournalBudget): ConsensusOptions {
   return {
-    ...GROUP_TIMING,
+    ...CONSENSUS_TIMING,
     snapshotEveryEntries: SNAPSHOT_EVERY_ENTRIES,
     snapshotEveryBytes: SNAPSHOT_EVERY_BYTES,
     trailingBytes: TRAILING_BYTES,
--- a/src/nodes/node-settings.ts
+++ b/src/nodes/node-settings.ts
@@ -37,7 +37,7 @@
  * member's first election comes early, since a whole group that lost power has no leader to wait
  * for; where there is one, the pre-vote disturbs nobody.
  */
-export const GROUP_TIMING: ConsensusOptions = {
+export const CONSENSUS_TIMING: ConsensusOptions = {
   heartbeatIntervalMs: 60,
   electionTimeoutMs: 300,
   startupElectionTimeoutMs: 40,
--- a/tests/time-budgets.test.ts
+++ b/tests/time-budgets.test.ts
@@ -25,7 +25,7 @@
   WATCH_TRY_TIMEOUT_MS,
 } from '../src/directory/directory-watcher.js';
 import { GATEWAY_ACTIVE_WINDOW_MS } from '../src/directory/gateway-confirmations.js';
-import { GROUP_TIMING } from '../src/nodes/node-settings.js';
+import { CONSENSUS_TIMING } from '../src/nodes/node-settings.js';
 import { keyLeaseMs } from '../src/tenants/index.js';
 import { CONNECTION_ATTEMPT_DELAY_MS } from '../src/wire/connection-race.js';
 import {
@@ -59,7 +59,7 @@
 /** For so long new connections may be silent as well after open ones have gone silent for good. */
 const NEW_CONNECTIONS_SILENT_MS = 1_400;
 
-const timing = checkConsensusOptions(GROUP_TIMING);
+const timing = checkConsensusOptions(CONSENSUS_TIMING);
 /** Election time-outs are spread over this many times the shortest one. */
 const ELECTION_SPREAD = 2;
 const LATEST_ELECTION_MS = timing.electionTimeoutMs * ELECTION_SPREAD;
