--- a/emulator/engine/engine-settings.ts
+++ b/emulator/engine/engine-settings.ts
@@ -1,13 +1,18 @@
 /** Settings of the emulated engine process. */
 import { z } from 'zod';
-import { durationWithDefault, logSettings, nodeSettings, port } from '../../src/settings/index.js';
+import {
+  durationWithDefault,
+  logSettings,
+  nodeSettingsSchema,
+  port,
+} from '../../src/settings/index.js';
 import { DEFAULT_ENGINE_OPTIONS } from '../model/engine-options.js';
 
 const positive = z.number().positive();
 const defaults = DEFAULT_ENGINE_OPTIONS;
 
 export const engineSettingsSchema = z.strictObject({
-  node: nodeSettings,
+  node: nodeSettingsSchema,
   listen: z.strictObject({ host: z.string().default('127.0.0.1'), port }),
   /** Wall-clock time of one unit of model time; 0.1 runs ten times as fast. */
   timeScale: positive.max(10).default(1),
--- a/emulator/fault-proxy/fault-proxy-settings.ts
+++ b/emulator/fault-proxy/fault-proxy-settings.ts
@@ -1,6 +1,6 @@
 /** Settings of the fault-injecting proxy. */
 import { z } from 'zod';
-import { address, logSettings, nodeSettings, port } from '../../src/settings/index.js';
+import { address, logSettings, nodeSettingsSchema, port } from '../../src/settings/index.js';
 
 /** What happens to the bytes of one direction of a link. */
 export const directionFaultSchema = z.strictObject({
@@ -40,7 +40,7 @@
 export type LinkSettings = z.infer<typeof linkSchema>;
 
 export const faultProxySettingsSchema = z.strictObject({
-  node: nodeSettings,
+  node: nodeSettingsSchema,
   listen: z.strictObject({ host: z.string().default('127.0.0.1'), controlPort: port }),
   links: z.array(linkSchema).default([]),
   log: logSettings.prefault({}),
--- a/emulator/machines/machines-server.ts
+++ b/emulator/machines/machines-server.ts
@@ -3,10 +3,15 @@
 import { addStatusPages } from '../status-pages.js';
 import { HttpRouter, HttpServer, readJson, sendJson } from '../../src/http/index.js';
 import type { Logger } from '../../src/observability/index.js';
-import { durationWithDefault, logSettings, nodeSettings, port } from '../../src/settings/index.js';
+import {
+  durationWithDefault,
+  logSettings,
+  nodeSettingsSchema,
+  port,
+} from '../../src/settings/index.js';
 
 export const machinesSettingsSchema = z.strictObject({
-  node: nodeSettings,
+  node: nodeSettingsSchema,
   listen: z.strictObject({ host: z.string().default('127.0.0.1'), port }),
   /** How late a change is seen. */
   lag: durationWithDefault('1s'),
--- a/emulator/service/service-server.ts
+++ b/emulator/service/service-server.ts
@@ -12,13 +12,18 @@
   readJson,
   sendJson,
 } from '../../src/http/index.js';
-import { durationWithDefault, logSettings, nodeSettings, port } from '../../src/settings/index.js';
+import {
+  durationWithDefault,
+  logSettings,
+  nodeSettingsSchema,
+  port,
+} from '../../src/settings/index.js';
 import type { Logger } from '../../src/observability/index.js';
 import { appendRecord } from '../record-file.js';
 import { addStatusPages } from '../status-pages.js';
 
 export const serviceSettingsSchema = z.strictObject({
-  node: nodeSettings,
+  node: nodeSettingsSchema,
   listen: z.strictObject({ host: z.string().default('127.0.0.1'), port }),
   /** Mean time that an execution takes; exponentially distributed. */
   meanLatency: durationWithDefault('5ms'),
--- a/emulator/weights/weights-server.ts
+++ b/emulator/weights/weights-server.ts
@@ -4,10 +4,15 @@
 import { sleep } from '../../src/common/index.js';
 import { HttpRouter, HttpServer, sendJson } from '../../src/http/index.js';
 import type { Logger } from '../../src/observability/index.js';
-import { durationWithDefault, logSettings, nodeSettings, port } from '../../src/settings/index.js';
+import {
+  durationWithDefault,
+  logSettings,
+  nodeSettingsSchema,
+  port,
+} from '../../src/settings/index.js';
 
 export const weightsSettingsSchema = z.strictObject({
-  node: nodeSettings,
+  node: nodeSettingsSchema,
   listen: z.strictObject({ host: z.string().default('127.0.0.1'), port }),
   /** Time that one transfer takes. */
   transferTime: durationWithDefault('200ms'),
--- a/src/settings/common-settings.ts
+++ b/src/settings/common-settings.ts
@@ -10,7 +10,7 @@
   .string()
   .regex(/^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/, 'must be letters, digits, ".", "_" or "-"');
 
-export const nodeSettings = z.strictObject({
+export const nodeSettingsSchema = z.strictObject({
   /** The process's name; unique among those of its kind, stable over restarts. */
   name,
   zone: name,
--- a/src/settings/control-settings.ts
+++ b/src/settings/control-settings.ts
@@ -6,13 +6,13 @@
   logSettings,
   name,
   networkSettings,
-  nodeSettings,
+  nodeSettingsSchema,
   port,
 } from './common-settings.js';
 import { size } from './units.js';
 
 export const controlSettingsSchema = z.strictObject({
-  node: nodeSettings,
+  node: nodeSettingsSchema,
   listen: z.strictObject({
     host: z.string().default('127.0.0.1'),
     internalPort: port,
--- a/src/settings/gateway-settings.ts
+++ b/src/settings/gateway-settings.ts
@@ -5,7 +5,7 @@
   durationWithDefault,
   logSettings,
   networkSettings,
-  nodeSettings,
+  nodeSettingsSchema,
   port,
 } from './common-settings.js';
 import { size } from './units.js';
@@ -24,7 +24,7 @@
 export type HoldPolicyName = (typeof holdPolicyNames)[number];
 
 export const gatewaySettingsSchema = z.strictObject({
-  node: nodeSettings,
+  node: nodeSettingsSchema,
   listen: z.strictObject({
     host: z.string().default('127.0.0.1'),
     callerPort: port,
