--- a/emulator/engine/engine-settings.ts
+++ b/emulator/engine/engine-settings.ts
@@ -2,7 +2,7 @@
 import { z } from 'zod';
 import {
   durationWithDefault,
-  logSettings,
+  logSettingsSchema,
   nodeSettingsSchema,
   port,
 } from '../../src/settings/index.js';
@@ -41,7 +41,7 @@
   recordFile: z.string().optional(),
   /** Address of the weight store to load models from; without one, models are there at once. */
   weightStore: z.string().optional(),
-  log: logSettings.prefault({}),
+  log: logSettingsSchema.prefault({}),
 });
 
 export type EngineSettings = z.infer<typeof engineSettingsSchema>;
--- a/emulator/fault-proxy/fault-proxy-settings.ts
+++ b/emulator/fault-proxy/fault-proxy-settings.ts
@@ -1,6 +1,6 @@
 /** Settings of the fault-injecting proxy. */
 import { z } from 'zod';
-import { address, logSettings, nodeSettingsSchema, port } from '../../src/settings/index.js';
+import { address, logSettingsSchema, nodeSettingsSchema, port } from '../../src/settings/index.js';
 
 /** What happens to the bytes of one direction of a link. */
 export const directionFaultSchema = z.strictObject({
@@ -43,7 +43,7 @@
   node: nodeSettingsSchema,
   listen: z.strictObject({ host: z.string().default('127.0.0.1'), controlPort: port }),
   links: z.array(linkSchema).default([]),
-  log: logSettings.prefault({}),
+  log: logSettingsSchema.prefault({}),
 });
 
 export type FaultProxySettings = z.infer<typeof faultProxySettingsSchema>;
--- a/emulator/machines/machines-server.ts
+++ b/emulator/machines/machines-server.ts
@@ -5,7 +5,7 @@
 import type { Logger } from '../../src/observability/index.js';
 import {
   durationWithDefault,
-  logSettings,
+  logSettingsSchema,
   nodeSettingsSchema,
   port,
 } from '../../src/settings/index.js';
@@ -15,7 +15,7 @@
   listen: z.strictObject({ host: z.string().default('127.0.0.1'), port }),
   /** How late a change is seen. */
   lag: durationWithDefault('1s'),
-  log: logSettings.prefault({}),
+  log: logSettingsSchema.prefault({}),
 });
 
 export type MachinesSettings = z.infer<typeof machinesSettingsSchema>;
--- a/emulator/service/service-server.ts
+++ b/emulator/service/service-server.ts
@@ -14,7 +14,7 @@
 } from '../../src/http/index.js';
 import {
   durationWithDefault,
-  logSettings,
+  logSettingsSchema,
   nodeSettingsSchema,
   port,
 } from '../../src/settings/index.js';
@@ -30,7 +30,7 @@
   seed: z.number().int().default(1),
   /** File that every execution is appended to, for checks after a crash. */
   recordFile: z.string().optional(),
-  log: logSettings.prefault({}),
+  log: logSettingsSchema.prefault({}),
 });
 
 export type ServiceSettings = z.infer<typeof serviceSettingsSchema>;
--- a/emulator/weights/weights-server.ts
+++ b/emulator/weights/weights-server.ts
@@ -6,7 +6,7 @@
 import type { Logger } from '../../src/observability/index.js';
 import {
   durationWithDefault,
-  logSettings,
+  logSettingsSchema,
   nodeSettingsSchema,
   port,
 } from '../../src/settings/index.js';
@@ -18,7 +18,7 @@
   transferTime: durationWithDefault('200ms'),
   /** Transfers under way at most; others wait. */
   maxTransfers: z.number().int().positive().default(4),
-  log: logSettings.prefault({}),
+  log: logSettingsSchema.prefault({}),
 });
 
 export type WeightsSettings = z.infer<typeof weightsSettingsSchema>;
--- a/src/settings/common-settings.ts
+++ b/src/settings/common-settings.ts
@@ -16,7 +16,7 @@
   zone: name,
 });
 
-export const logSettings = z.strictObject({
+export const logSettingsSchema = z.strictObject({
   level: z.enum(['debug', 'info', 'warn', 'error']).default('info'),
 });
 
--- a/src/settings/control-settings.ts
+++ b/src/settings/control-settings.ts
@@ -3,7 +3,7 @@
 import {
   address,
   durationWithDefault,
-  logSettings,
+  logSettingsSchema,
   name,
   networkSettings,
   nodeSettingsSchema,
@@ -60,7 +60,7 @@
     .strictObject({ quota: size().optional(), segment: size().prefault('32MiB') })
     .prefault({}),
   network: networkSettings.prefault({}),
-  log: logSettings.prefault({}),
+  log: logSettingsSchema.prefault({}),
 });
 
 export type ControlSettings = z.infer<typeof controlSettingsSchema>;
--- a/src/settings/gateway-settings.ts
+++ b/src/settings/gateway-settings.ts
@@ -3,7 +3,7 @@
 import {
   address,
   durationWithDefault,
-  logSettings,
+  logSettingsSchema,
   networkSettings,
   nodeSettingsSchema,
   port,
@@ -100,7 +100,7 @@
     })
     .prefault({}),
   network: networkSettings.prefault({}),
-  log: logSettings.prefault({}),
+  log: logSettingsSchema.prefault({}),
 });
 
 export type GatewaySettings = z.infer<typeof gatewaySettingsSchema>;
