--- a/src/settings/common-settings.ts
+++ b/src/settings/common-settings.ts
@@ -20,7 +20,7 @@
   level: z.enum(['debug', 'info', 'warn', 'error']).default('info'),
 });
 
-export const networkSettings = z.strictObject({
+export const networkSettingsSchema = z.strictObject({
   /** Addresses to connect to in place of announced ones, for forwarded ports. */
   dialOverrides: z.record(address, address).default({}),
 });
@@ -30,7 +30,7 @@
 
 /** Turns an announced address into the one to connect to. */
 export function createAddressResolver(
-  network: z.infer<typeof networkSettings>,
+  network: z.infer<typeof networkSettingsSchema>,
 ): (address: string) => string {
   return (announced) => network.dialOverrides[announced] ?? announced;
 }
--- a/src/settings/control-settings.ts
+++ b/src/settings/control-settings.ts
@@ -5,7 +5,7 @@
   durationWithDefault,
   logSettingsSchema,
   name,
-  networkSettings,
+  networkSettingsSchema,
   nodeSettingsSchema,
   port,
 } from './common-settings.js';
@@ -59,7 +59,7 @@
   storage: z
     .strictObject({ quota: size().optional(), segment: size().prefault('32MiB') })
     .prefault({}),
-  network: networkSettings.prefault({}),
+  network: networkSettingsSchema.prefault({}),
   log: logSettingsSchema.prefault({}),
 });
 
--- a/src/settings/gateway-settings.ts
+++ b/src/settings/gateway-settings.ts
@@ -4,7 +4,7 @@
   address,
   durationWithDefault,
   logSettingsSchema,
-  networkSettings,
+  networkSettingsSchema,
   nodeSettingsSchema,
   port,
 } from './common-settings.js';
@@ -99,7 +99,7 @@
       idleTimeout: durationWithDefault('10min'),
     })
     .prefault({}),
-  network: networkSettings.prefault({}),
+  network: networkSettingsSchema.prefault({}),
   log: logSettingsSchema.prefault({}),
 });
 
