--- a/src/settings/settings-watch.ts
+++ b/src/settings/settings-watch.ts
@@ -7,7 +7,7 @@
 
 type ReloadCause = 'signal' | 'file changed';
 
-export class SettingsWatch<Settings> {
+export class SettingsWatcher<Settings> {
   private isReading = false;
   /** A request came while the file was read: what was read may be older than what it tells of. */
   private mustReadAgain = false;
