--- a/src/nodes/member-load-log.ts
+++ b/src/nodes/member-load-log.ts
@@ -6,7 +6,7 @@
 import { performance } from 'node:perf_hooks';
 import type { ReplicatedGroup, ReplicationTraffic } from '../consensus/index.js';
 import type { WriteAheadLog } from '../log-store/index.js';
-import type { DurationFigures, LogFields, Logger } from '../observability/index.js';
+import type { DurationStats, LogFields, Logger } from '../observability/index.js';
 
 const INTERVAL_MS = 1_000;
 /** Commands or batches in a second below which a line says nothing of a load. */
@@ -74,7 +74,7 @@
   }
 }
 
-type ReadTimes = Record<keyof ReplicatedGroup['times'], DurationFigures>;
+type ReadTimes = Record<keyof ReplicatedGroup['times'], DurationStats>;
 
 function describeCommits({ gate, ownSync, commit, append }: ReadTimes): LogFields {
   return {
--- a/src/observability/duration-summary.ts
+++ b/src/observability/duration-summary.ts
@@ -1,6 +1,6 @@
 /** Count, mean and longest of durations since they were last read, for a log line at intervals. */
 
-export interface DurationFigures {
+export interface DurationStats {
   count: number;
   meanMs: number;
   maxMs: number;
@@ -18,7 +18,7 @@
   }
 
   /** Reads the figures, rounded to whole milliseconds, and begins anew. */
-  take(): DurationFigures {
+  take(): DurationStats {
     const { count, sumMs, maxMs } = this;
     this.count = 0;
     this.sumMs = 0;
--- a/src/observability/index.ts
+++ b/src/observability/index.ts
@@ -1,5 +1,5 @@
 /** Logs, metrics and the status pages of a process. */
-export { DurationSummary, type DurationFigures } from './duration-summary.js';
+export { DurationSummary, type DurationStats } from './duration-summary.js';
 export { addGauge } from './gauge.js';
 export { GatewayMetrics } from './gateway-metrics.js';
 export { EventLog, type EventLogOptions } from './event-log.js';
