--- a/src/cli/account-command.ts
+++ b/src/cli/account-command.ts
@@ -1,6 +1,6 @@
 /** `account`: where the time of a whole run went, by the decision logs of the processes. */
 import type { CAC } from 'cac';
-import { type Account, type TurnParts, accountOf } from '../explain/index.js';
+import { type RunSummary, type TurnParts, accountOf } from '../explain/index.js';
 import { UsageError } from './daemon-command.js';
 import { readRecords } from './log-files.js';
 import { runAction } from './run-daemon.js';
@@ -20,7 +20,7 @@
     );
 }
 
-function describe({ turns, windows, programs, failures }: Account): string {
+function describe({ turns, windows, programs, failures }: RunSummary): string {
   const { seen, late, failed } = programs;
   return [
     `programs: ${seen} seen, ${late} late, ${failed} failed`,
--- a/src/explain/account.ts
+++ b/src/explain/account.ts
@@ -46,7 +46,7 @@
   failed: number;
 }
 
-export interface Account {
+export interface RunSummary {
   turns: TurnParts;
   windows: AccountWindow[];
   programs: ProgramCounts;
@@ -77,7 +77,7 @@
   sentTo: string[];
 }
 
-export function accountOf(records: readonly LogRecord[]): Account {
+export function accountOf(records: readonly LogRecord[]): RunSummary {
   const calls = records.filter(({ event }) => event === 'call').map(readCall);
   calls.sort((left, right) => left.endedAt - right.endedAt);
   const turns = calls.filter((call) => call.isTurn && call.outcome === ANSWERED);
--- a/src/explain/index.ts
+++ b/src/explain/index.ts
@@ -1,6 +1,6 @@
 /** From the id of a call to its cause, by the decision logs of the processes. */
 export {
-  type Account,
+  type RunSummary,
   type AccountWindow,
   type FailureCount,
   type ProgramCounts,
