--- a/src/cli/account-command.ts
+++ b/src/cli/account-command.ts
@@ -1,6 +1,6 @@
 /** `account`: where the time of a whole run went, by the decision logs of the processes. */
 import type { CAC } from 'cac';
-import { type RunSummary, type TurnParts, accountOf } from '../explain/index.js';
+import { type RunSummary, type TurnParts, summarizeRun } from '../explain/index.js';
 import { UsageError } from './daemon-command.js';
 import { readRecords } from './log-files.js';
 import { runAction } from './run-daemon.js';
@@ -14,7 +14,7 @@
     .action((files: string[], flags: { json?: boolean }) =>
       runAction(() => {
         if (files.length === 0) throw new UsageError('name at least one log file');
-        const account = accountOf(files.flatMap(readRecords));
+        const account = summarizeRun(files.flatMap(readRecords));
         process.stdout.write(`${flags.json ? JSON.stringify(account) : describe(account)}\n`);
       }),
     );
--- a/src/explain/account.test.ts
+++ b/src/explain/account.test.ts
@@ -1,6 +1,6 @@
 /** What the logs of a run add up to. */
 import { describe, expect, it } from 'vitest';
-import { accountOf } from './account.js';
+import { summarizeRun } from './account.js';
 import type { LogRecord } from './log-record.js';
 
 const START = Date.parse('2026-01-01T00:00:00.000Z');
@@ -29,7 +29,7 @@
 
 describe('the account of a run', () => {
   it('divides the time of turns into parts that add up to the whole', () => {
-    const { turns } = accountOf([
+    const { turns } = summarizeRun([
       turn(0),
       turn(100, { ms: 500, sends: 'e1@0+0:broken e2@0+0:complete' }),
     ]);
@@ -47,7 +47,7 @@
       program: 'q',
       sends: 'e3@9+1:x',
     });
-    const { windows } = accountOf([turn(0), turn(1_900), failure]);
+    const { windows } = summarizeRun([turn(0), turn(1_900), failure]);
     expect(windows.map(({ fromSecond, turns, failed }) => [fromSecond, turns, failed])).toEqual([
       [0, 2, 0],
       [4, 0, 1],
@@ -59,7 +59,7 @@
       outcome: 'time-limit',
       sends: 'e1@0+0-0t/3ms:other side closed e3@9+1-5t/4ms:x',
     };
-    const account = accountOf([
+    const account = summarizeRun([
       turn(0, { program: 'late', remainingMs: 0 }),
       turn(10, { program: 'late', remainingMs: 0 }),
       call(20, { call: 'f1', program: 'lost', ...failure }),
@@ -74,7 +74,7 @@
   });
 
   it('has nothing to tell of logs without calls', () => {
-    const account = accountOf([{ ...turn(0), event: 'process.start' }]);
+    const account = summarizeRun([{ ...turn(0), event: 'process.start' }]);
     expect(account.turns.turns).toBe(0);
     expect(account.windows).toEqual([]);
   });
--- a/src/explain/account.ts
+++ b/src/explain/account.ts
@@ -77,7 +77,7 @@
   sentTo: string[];
 }
 
-export function accountOf(records: readonly LogRecord[]): RunSummary {
+export function summarizeRun(records: readonly LogRecord[]): RunSummary {
   const calls = records.filter(({ event }) => event === 'call').map(readCall);
   calls.sort((left, right) => left.endedAt - right.endedAt);
   const turns = calls.filter((call) => call.isTurn && call.outcome === ANSWERED);
--- a/src/explain/index.ts
+++ b/src/explain/index.ts
@@ -5,7 +5,7 @@
   type FailureCount,
   type ProgramCounts,
   type TurnParts,
-  accountOf,
+  summarizeRun,
 } from './account.js';
 export { explain, type Explanation } from './explanation.js';
 export type { RestoredTurns } from './restored-turns.js';
