--- a/src/explain/account.ts
+++ b/src/explain/account.ts
@@ -20,7 +20,7 @@
 }
 
 /** Turns that ended in one span of time. */
-export interface AccountWindow extends TurnParts {
+export interface SummaryWindow extends TurnParts {
   /** Start of the span, in seconds after the first line of a call. */
   fromSecond: number;
   medianMs: number;
@@ -48,7 +48,7 @@
 
 export interface RunSummary {
   turns: TurnParts;
-  windows: AccountWindow[];
+  windows: SummaryWindow[];
   programs: ProgramCounts;
   failures: FailureCount[];
 }
@@ -123,7 +123,7 @@
   };
 }
 
-function windowsOf(calls: readonly CallLine[]): AccountWindow[] {
+function windowsOf(calls: readonly CallLine[]): SummaryWindow[] {
   const start = calls[0]?.endedAt ?? 0;
   const spanOf = ({ endedAt }: CallLine): number =>
     Math.floor((endedAt - start) / (WINDOW_SECONDS * 1_000));
--- a/src/explain/index.ts
+++ b/src/explain/index.ts
@@ -1,7 +1,7 @@
 /** From the id of a call to its cause, by the decision logs of the processes. */
 export {
   type RunSummary,
-  type AccountWindow,
+  type SummaryWindow,
   type FailureCount,
   type ProgramCounts,
   type TurnParts,
