--- a/src/cli/account-command.ts
+++ b/src/cli/account-command.ts
@@ -1,6 +1,6 @@
 /** `account`: where the time of a whole run went, by the decision logs of the processes. */
 import type { CAC } from 'cac';
-import { type RunSummary, type TurnParts, summarizeRun } from '../explain/index.js';
+import { type RunSummary, type TurnLatencyBreakdown, summarizeRun } from '../explain/index.js';
 import { UsageError } from './daemon-command.js';
 import { readRecords } from './log-files.js';
 import { runAction } from './run-daemon.js';
@@ -42,7 +42,7 @@
   ].join('\n');
 }
 
-function describeParts(parts: TurnParts): string {
+function describeParts(parts: TurnLatencyBreakdown): string {
   const { turns, ledgerMs, firstEventMs, generatingMs, keepingMs, sentAgain } = parts;
   const times = [
     `ledger ${Math.round(ledgerMs)}`,
--- a/src/explain/account.ts
+++ b/src/explain/account.ts
@@ -6,7 +6,7 @@
 import type { LogRecord } from './log-record.js';
 
 /** Mean times of the parts of turns, in milliseconds. */
-export interface TurnParts {
+export interface TurnLatencyBreakdown {
   turns: number;
   /** Setting tokens aside at the ledger. */
   ledgerMs: number;
@@ -20,7 +20,7 @@
 }
 
 /** Turns that ended in one span of time. */
-export interface SummaryWindow extends TurnParts {
+export interface SummaryWindow extends TurnLatencyBreakdown {
   /** Start of the span, in seconds after the first line of a call. */
   fromSecond: number;
   medianMs: number;
@@ -47,7 +47,7 @@
 }
 
 export interface RunSummary {
-  turns: TurnParts;
+  turns: TurnLatencyBreakdown;
   windows: SummaryWindow[];
   programs: ProgramCounts;
   failures: FailureCount[];
@@ -110,7 +110,7 @@
   return outcome !== ANSWERED && !EXPECTED_OUTCOMES.has(outcome);
 }
 
-function partsOf(turns: readonly CallLine[]): TurnParts {
+function partsOf(turns: readonly CallLine[]): TurnLatencyBreakdown {
   const mean = (part: (turn: CallLine) => number): number =>
     turns.length === 0 ? 0 : turns.reduce((sum, turn) => sum + part(turn), 0) / turns.length;
   return {
--- a/src/explain/index.ts
+++ b/src/explain/index.ts
@@ -4,7 +4,7 @@
   type SummaryWindow,
   type FailureCount,
   type ProgramCounts,
-  type TurnParts,
+  type TurnLatencyBreakdown,
   summarizeRun,
 } from './account.js';
 export { explain, type Explanation } from './explanation.js';
