--- a/src/explain/account.test.ts
+++ b/src/explain/account.test.ts
@@ -1,6 +1,6 @@
 /** What the logs of a run add up to. */
 import { describe, expect, it } from 'vitest';
-import { summarizeRun } from './account.js';
+import { summarizeRun } from './run-summary.js';
 import type { LogRecord } from './log-record.js';
 
 const START = Date.parse('2026-01-01T00:00:00.000Z');
--- a/src/explain/index.ts
+++ b/src/explain/index.ts
@@ -6,7 +6,7 @@
   type ProgramCounts,
   type TurnLatencyBreakdown,
   summarizeRun,
-} from './account.js';
+} from './run-summary.js';
 export { explain, type Explanation } from './explanation.js';
 export type { RestoredTurns } from './restored-turns.js';
 export { type LogRecord, parseLogLine } from './log-record.js';
