--- a/src/callers/answer-writer.ts
+++ b/src/callers/answer-writer.ts
@@ -7,7 +7,7 @@
 import { problemOf } from './call-problem.js';
 
 /** What the answer's documents name. */
-export interface AnswerSubject {
+export interface ResponseMetadata {
   program: string;
   sequence: number;
   model: string;
@@ -19,14 +19,14 @@
 export async function writeDocument(
   response: ServerResponse,
   execution: CallExecution,
-  subject: AnswerSubject,
+  subject: ResponseMetadata,
 ): Promise<void> {
   const result = await execution.result;
   if (result.kind !== 'completed') throw problemOf(result);
   sendJson(response, 200, completionDocument(subject, result));
 }
 
-export function completionDocument(subject: AnswerSubject, result: CompletedResult): object {
+export function completionDocument(subject: ResponseMetadata, result: CompletedResult): object {
   return {
     id: answerId(subject),
     object: 'chat.completion',
@@ -50,7 +50,7 @@
 export async function writeEvents(
   response: ServerResponse,
   execution: CallExecution,
-  subject: AnswerSubject,
+  subject: ResponseMetadata,
   offset: number,
 ): Promise<void> {
   const writer = new EventWriter(response, subject, offset);
@@ -72,7 +72,7 @@
 
   constructor(
     private readonly response: ServerResponse,
-    private readonly subject: AnswerSubject,
+    private readonly subject: ResponseMetadata,
     private sent: number,
   ) {
     const { model } = subject;
@@ -141,7 +141,7 @@
   }
 }
 
-function answerId(subject: AnswerSubject): string {
+function answerId(subject: ResponseMetadata): string {
   return `${subject.program}#${subject.sequence}`;
 }
 
