--- a/src/callers/answer-writer.ts
+++ b/src/callers/answer-writer.ts
@@ -16,7 +16,7 @@
 type CompletedResult = Extract<CallResult, { kind: 'completed' }>;
 
 /** Answers with one document once the call is settled. @throws HttpProblem */
-export async function writeDocument(
+export async function writeJsonResponse(
   response: ServerResponse,
   execution: CallExecution,
   subject: ResponseMetadata,
--- a/src/callers/caller-api.ts
+++ b/src/callers/caller-api.ts
@@ -12,7 +12,7 @@
   depthOf,
   isProgramId,
 } from '../journal/index.js';
-import { completionDocument, writeDocument, writeEvents } from './answer-writer.js';
+import { completionDocument, writeJsonResponse, writeEvents } from './answer-writer.js';
 import type { CallContext, CallSpecification } from './call-context.js';
 import { outcomePending, problemOf, refusalProblem, unknownProgram } from './call-problem.js';
 import type { CallExecution } from './call-execution.js';
@@ -169,7 +169,7 @@
     const { programId: program, sequence, tenant } = specification;
     const hint = await this.options.context.hints.get(program, tenant);
     const subject = { program, sequence, model: hint?.model ?? '' };
-    if (eventOffset === undefined) await writeDocument(response, execution, subject);
+    if (eventOffset === undefined) await writeJsonResponse(response, execution, subject);
     else await writeEvents(response, execution, subject, eventOffset);
   }
 
