--- a/src/callers/answer-writer.ts
+++ b/src/callers/answer-writer.ts
@@ -47,7 +47,7 @@
  * Streams the answer from character `offset` on. The end is sent only after the call is settled in
  * the journal; a problem before the first piece is answered as a plain problem document.
  */
-export async function writeEvents(
+export async function writeEventStream(
   response: ServerResponse,
   execution: CallExecution,
   subject: ResponseMetadata,
--- a/src/callers/caller-api.ts
+++ b/src/callers/caller-api.ts
@@ -12,7 +12,7 @@
   depthOf,
   isProgramId,
 } from '../journal/index.js';
-import { completionDocument, writeJsonResponse, writeEvents } from './answer-writer.js';
+import { completionDocument, writeJsonResponse, writeEventStream } from './answer-writer.js';
 import type { CallContext, CallSpecification } from './call-context.js';
 import { outcomePending, problemOf, refusalProblem, unknownProgram } from './call-problem.js';
 import type { CallExecution } from './call-execution.js';
@@ -170,7 +170,7 @@
     const hint = await this.options.context.hints.get(program, tenant);
     const subject = { program, sequence, model: hint?.model ?? '' };
     if (eventOffset === undefined) await writeJsonResponse(response, execution, subject);
-    else await writeEvents(response, execution, subject, eventOffset);
+    else await writeEventStream(response, execution, subject, eventOffset);
   }
 
   private async open(
