--- a/src/callers/caller-api.ts
+++ b/src/callers/caller-api.ts
@@ -12,7 +12,7 @@
   depthOf,
   isProgramId,
 } from '../journal/index.js';
-import { completionDocument, writeJsonResponse, writeEventStream } from './answer-writer.js';
+import { completionDocument, writeJsonResponse, writeEventStream } from './response-writer.js';
 import type { CallContext, CallSpecification } from './call-context.js';
 import { outcomePending, problemOf, refusalProblem, unknownProgram } from './call-problem.js';
 import type { CallExecution } from './call-execution.js';
