--- a/src/callers/model-call.ts
+++ b/src/callers/model-call.ts
@@ -14,7 +14,13 @@
 import type { CallResult } from './call-result.js';
 import { EngineStreamReader } from './engine-stream-reader.js';
 import type { ProgramHint } from './program-hints.js';
-import { type Finish, refuse, resultOfRefusal, resultOfSimple, settle } from './settlement.js';
+import {
+  type CallSettlement,
+  refuse,
+  resultOfRefusal,
+  resultOfSimple,
+  settle,
+} from './settlement.js';
 
 type Admitted = Extract<AdmissionResult, { kind: 'admitted' }>;
 
@@ -183,7 +189,7 @@
       if (answer.status === 'refused') return resultOfRefusal(specification, answer);
       if (answer.status !== 'running') return resultOfSimple(specification, answer);
     }
-    const finish: Finish = {
+    const finish: CallSettlement = {
       attempt: lost.current.attempt,
       outcome: 'unknown',
       answer: 'the engine was lost and no other could take the call',
--- a/src/callers/settlement.ts
+++ b/src/callers/settlement.ts
@@ -93,7 +93,7 @@
   return resultOfSimple(specification, answer);
 }
 
-export interface Finish {
+export interface CallSettlement {
   attempt: number;
   outcome: FinishCommand['outcome'];
   answer: string;
@@ -112,7 +112,7 @@
 export async function settle(
   context: CallContext,
   specification: CallSpecification,
-  finish: Finish,
+  finish: CallSettlement,
 ): Promise<CallResult | undefined> {
   const { programId, tenant, sequence } = specification;
   const { usage, backends = [], ...outcome } = finish;
