--- a/src/callers/model-call.ts
+++ b/src/callers/model-call.ts
@@ -18,7 +18,7 @@
   type CallSettlement,
   refuse,
   resultOfRefusal,
-  resultOfSimple,
+  resultOfFinalAnswer,
   settle,
 } from './settlement.js';
 
@@ -101,7 +101,7 @@
   ): CallResult | Promise<CallResult> {
     // The attempt was withdrawn meanwhile, so this submission was refused.
     if (answer.status === 'unknown-call') return this.refuse('backend-refused');
-    return resultOfSimple(this.specification, answer);
+    return resultOfFinalAnswer(this.specification, answer);
   }
 
   private admit(): Promise<AdmissionResult> {
@@ -128,7 +128,7 @@
       admission.release();
       return this.follow(answer.call);
     }
-    if (answer.status !== 'begun') return resultOfSimple(specification, answer);
+    if (answer.status !== 'begun') return resultOfFinalAnswer(specification, answer);
     return this.serve(answer, admission.backend);
   }
 
@@ -174,7 +174,7 @@
   private continueAfterRestart(answer: RestartResult, admission: Admitted): Promise<CallResult> {
     if (answer.status === 'begun') return this.serve(answer, admission.backend);
     if (answer.status === 'running') return this.follow(answer.call);
-    return Promise.resolve(resultOfSimple(this.specification, answer));
+    return Promise.resolve(resultOfFinalAnswer(this.specification, answer));
   }
 
   /** Ends a call that cannot be run now: as not run if that is certain, else as unknown. */
@@ -187,7 +187,7 @@
       const command = { programId, tenant, sequence, attempt, token, reason } as const;
       const answer = await context.journal.withdraw({ type: 'withdraw', ...command });
       if (answer.status === 'refused') return resultOfRefusal(specification, answer);
-      if (answer.status !== 'running') return resultOfSimple(specification, answer);
+      if (answer.status !== 'running') return resultOfFinalAnswer(specification, answer);
     }
     const finish: CallSettlement = {
       attempt: lost.current.attempt,
--- a/src/callers/service-call-run.ts
+++ b/src/callers/service-call-run.ts
@@ -10,7 +10,7 @@
 import { beginCommand, restartCommand } from './attempt-commands.js';
 import type { CallContext, CallSpecification } from './call-context.js';
 import type { CallResult } from './call-result.js';
-import { refuse, resultOfRefusal, resultOfSimple, settle } from './settlement.js';
+import { refuse, resultOfRefusal, resultOfFinalAnswer, settle } from './settlement.js';
 
 type Admitted = Extract<AdmissionResult, { kind: 'admitted' }>;
 
@@ -49,7 +49,7 @@
       const proposedAt = monotonicMs();
       const answer = await context.journal.begin(command);
       if (answer.status === 'running') return await this.follow(answer.call);
-      if (answer.status !== 'begun') return resultOfSimple(specification, answer);
+      if (answer.status !== 'begun') return resultOfFinalAnswer(specification, answer);
       return await this.send(answer.call, admission, proposedAt);
     } finally {
       admission.release();
@@ -67,7 +67,7 @@
     const waitMs = patienceMs + takeoverGrace;
     const answer = await context.journal.awaitSettled(programId, tenant, sequence, waitMs);
     if (answer.status === 'unknown-call') return this.refuse('backend-refused');
-    if (answer.status !== 'running') return resultOfSimple(specification, answer);
+    if (answer.status !== 'running') return resultOfFinalAnswer(specification, answer);
     if (answer.call.current.attempt !== call.current.attempt) return this.follow(answer.call);
     if (request.isRepeatable) return this.retry(answer.call, false);
     return this.settleUnknown(answer.call);
@@ -172,7 +172,7 @@
   ): Promise<CallResult> {
     if (answer.status === 'begun') return this.send(answer.call, admission, proposedAt);
     if (answer.status === 'running') return this.follow(answer.call);
-    return Promise.resolve(resultOfSimple(this.specification, answer));
+    return Promise.resolve(resultOfFinalAnswer(this.specification, answer));
   }
 
   private async giveUp(call: CallRecord, neverRan: boolean): Promise<CallResult> {
@@ -191,7 +191,7 @@
     });
     if (answer.status === 'refused') return resultOfRefusal(specification, answer);
     if (answer.status === 'running') return this.settleUnknown(answer.call);
-    return resultOfSimple(specification, answer);
+    return resultOfFinalAnswer(specification, answer);
   }
 
   private async settleUnknown(call: CallRecord): Promise<CallResult> {
--- a/src/callers/settlement.ts
+++ b/src/callers/settlement.ts
@@ -56,7 +56,10 @@
 
 type SimpleResult = SettledResult | RefusedResult | ConflictResult | UnknownProgramResult;
 
-export function resultOfSimple(specification: CallSpecification, answer: SimpleResult): CallResult {
+export function resultOfFinalAnswer(
+  specification: CallSpecification,
+  answer: SimpleResult,
+): CallResult {
   switch (answer.status) {
     case 'settled':
       return resultOfSettled(answer.call);
@@ -90,7 +93,7 @@
     context.metrics.refusals.inc({ reason });
     return resultOfRefusal(specification, answer, retryAfterMs);
   }
-  return resultOfSimple(specification, answer);
+  return resultOfFinalAnswer(specification, answer);
 }
 
 export interface CallSettlement {
@@ -130,7 +133,7 @@
       const answer = await context.journal.finish(command);
       if (answer.status === 'running') return undefined;
       if (answer.status === 'settled') return resultOfSettled(answer.call, usage);
-      return resultOfSimple(specification, answer);
+      return resultOfFinalAnswer(specification, answer);
     } catch (error) {
       if (!(error instanceof GroupUnavailableError) || monotonicMs() >= deadline) throw error;
       await sleep(FINISH_RETRY_MS);
