--- a/src/callers/call-problem.ts
+++ b/src/callers/call-problem.ts
@@ -60,7 +60,7 @@
         sendAgain: false,
       };
     case 'unknown-program':
-      return unknownProgram().problem;
+      return unknownProgramProblem().problem;
     case 'journal-unavailable':
       return outcomePending(
         result.retryAfterMs,
@@ -73,7 +73,7 @@
  * The same for programs that do not exist, for those of other tenants, and for those that were
  * forgotten long after their end; calls of the latter may have run.
  */
-export function unknownProgram(): HttpProblem {
+export function unknownProgramProblem(): HttpProblem {
   return unknownOutcome('no such program', 'unknown_program', 404);
 }
 
--- a/src/callers/caller-api.ts
+++ b/src/callers/caller-api.ts
@@ -14,7 +14,12 @@
 } from '../journal/index.js';
 import { completionDocument, writeJsonResponse, writeEventStream } from './response-writer.js';
 import type { CallContext, CallSpecification } from './call-context.js';
-import { outcomePending, problemOf, refusalProblem, unknownProgram } from './call-problem.js';
+import {
+  outcomePending,
+  problemOf,
+  refusalProblem,
+  unknownProgramProblem,
+} from './call-problem.js';
 import type { CallExecution } from './call-execution.js';
 import type { CallResult } from './call-result.js';
 import type { CallRunner } from './call-runner.js';
@@ -74,7 +79,7 @@
     const tenant = this.options.tenants.authenticate(request);
     const programId = readProgramId(parameters);
     const answer = await this.options.context.journal.readProgram(programId, tenant.id);
-    if (answer.status !== 'found') throw unknownProgram();
+    if (answer.status !== 'found') throw unknownProgramProblem();
     sendJson(response, 200, programDocument(answer.program));
   }
 
@@ -201,7 +206,7 @@
     if (!tenant.models.includes(body.model)) {
       throw badRequest('this tenant may not use the model', 'model_not_allowed', 403);
     }
-    if (body.parent !== undefined && !isProgramId(body.parent)) throw unknownProgram();
+    if (body.parent !== undefined && !isProgramId(body.parent)) throw unknownProgramProblem();
     const programId = createProgramId(tenant.id, body.parent, idempotencyKey);
     if (depthOf(programId) > programs.maxDepth) throw refusalProblem('depth-limit', false);
     const budget = Math.min(body.budget ?? programs.defaultBudget, tenant.maxProgramBudget);
@@ -231,7 +236,7 @@
       tenant,
       reason: 'ended-by-caller',
     });
-    if (answer.status === 'unknown-program') throw unknownProgram();
+    if (answer.status === 'unknown-program') throw unknownProgramProblem();
     context.holds.noteEnded();
     context.histories.forget(programId);
     context.hints.forget(programId, tenant);
@@ -280,7 +285,7 @@
     case 'refused':
       throw refusalProblem(answer.reason, answer.canSendAgain);
     case 'unknown-program':
-      throw unknownProgram();
+      throw unknownProgramProblem();
     case 'unknown-call':
       throw badRequest('no such call is recorded', 'unknown_call', 404);
   }
@@ -288,7 +293,7 @@
 
 function readProgramId(parameters: Record<string, string>): string {
   const programId = parameters.program!;
-  if (!isProgramId(programId)) throw unknownProgram();
+  if (!isProgramId(programId)) throw unknownProgramProblem();
   return programId;
 }
 
