--- a/src/callers/call-problem.ts
+++ b/src/callers/call-problem.ts
@@ -62,7 +62,7 @@
     case 'unknown-program':
       return unknownProgramProblem().problem;
     case 'journal-unavailable':
-      return outcomePending(
+      return outcomePendingProblem(
         result.retryAfterMs,
         'the journal cannot be reached; send the same submission again to learn the outcome',
       ).problem;
@@ -78,7 +78,7 @@
 }
 
 /** The gateway cannot tell now; the same submission may be sent again, here or elsewhere. */
-export function outcomePending(retryAfterMs: number, detail: string): HttpProblem {
+export function outcomePendingProblem(retryAfterMs: number, detail: string): HttpProblem {
   return new HttpProblem({
     status: 503,
     code: 'outcome_pending',
--- a/src/callers/caller-api.ts
+++ b/src/callers/caller-api.ts
@@ -15,7 +15,7 @@
 import { completionDocument, writeJsonResponse, writeEventStream } from './response-writer.js';
 import type { CallContext, CallSpecification } from './call-context.js';
 import {
-  outcomePending,
+  outcomePendingProblem,
   problemOf,
   refusalProblem,
   unknownProgramProblem,
@@ -185,7 +185,7 @@
   ): Promise<ProgramSummary> {
     const { context } = this.options;
     if (!context.lease.isHeld) {
-      throw outcomePending(JOURNAL_RETRY_AFTER_MS, 'this gateway may start no work now');
+      throw outcomePendingProblem(JOURNAL_RETRY_AFTER_MS, 'this gateway may start no work now');
     }
     const command = this.openCommand(tenant, body, idempotencyKey);
     const answer = await context.journal.open(command);
--- a/src/callers/tenant-authentication.ts
+++ b/src/callers/tenant-authentication.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage } from 'node:http';
 import { sha256Hex } from '../common/index.js';
 import { type HttpProblem, unknownOutcome } from '../http/index.js';
-import { outcomePending } from './call-problem.js';
+import { outcomePendingProblem } from './call-problem.js';
 import type { IntentDocument, TenantIntent } from '../intents/index.js';
 
 const BEARER = 'Bearer ';
@@ -41,7 +41,7 @@
    */
   private unknownKey(): HttpProblem {
     if (this.isCurrent()) return unknownOutcome('unknown API key', 'unauthorized', 401);
-    return outcomePending(RETRY_AFTER_MS, 'this gateway has no current configuration');
+    return outcomePendingProblem(RETRY_AFTER_MS, 'this gateway has no current configuration');
   }
 
   weightOf(tenant: string): number {
