--- a/src/callers/call-problem.ts
+++ b/src/callers/call-problem.ts
@@ -1,5 +1,5 @@
 /** The problem documents by which callers learn that a call has no answer. */
-import { HttpProblem, type Problem, unknownOutcome } from '../http/index.js';
+import { HttpProblem, type Problem, unknownOutcomeProblem } from '../http/index.js';
 import type { RefusalReason } from '../journal/index.js';
 import type { CallResult } from './call-result.js';
 
@@ -74,7 +74,7 @@
  * forgotten long after their end; calls of the latter may have run.
  */
 export function unknownProgramProblem(): HttpProblem {
-  return unknownOutcome('no such program', 'unknown_program', 404);
+  return unknownOutcomeProblem('no such program', 'unknown_program', 404);
 }
 
 /** The gateway cannot tell now; the same submission may be sent again, here or elsewhere. */
--- a/src/callers/tenant-authentication.ts
+++ b/src/callers/tenant-authentication.ts
@@ -1,7 +1,7 @@
 /** Finds the tenant of a request by its API key. */
 import type { IncomingMessage } from 'node:http';
 import { sha256Hex } from '../common/index.js';
-import { type HttpProblem, unknownOutcome } from '../http/index.js';
+import { type HttpProblem, unknownOutcomeProblem } from '../http/index.js';
 import { outcomePendingProblem } from './call-problem.js';
 import type { IntentDocument, TenantIntent } from '../intents/index.js';
 
@@ -40,7 +40,7 @@
    * may have been let in elsewhere.
    */
   private unknownKey(): HttpProblem {
-    if (this.isCurrent()) return unknownOutcome('unknown API key', 'unauthorized', 401);
+    if (this.isCurrent()) return unknownOutcomeProblem('unknown API key', 'unauthorized', 401);
     return outcomePendingProblem(RETRY_AFTER_MS, 'this gateway has no current configuration');
   }
 
--- a/src/http/http-server.ts
+++ b/src/http/http-server.ts
@@ -2,7 +2,13 @@
 import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { Deferred, describeError, sleep } from '../common/index.js';
-import { HttpProblem, badRequest, problemBody, problemHeaders, unknownOutcome } from './problem.js';
+import {
+  HttpProblem,
+  badRequest,
+  problemBody,
+  problemHeaders,
+  unknownOutcomeProblem,
+} from './problem.js';
 
 export interface HttpExchange {
   request: IncomingMessage;
@@ -223,7 +229,7 @@
     whole.reject(badRequest(detail, 'body_too_large', HTTP_PAYLOAD_TOO_LARGE));
   };
   const cutOff = (): void =>
-    whole.reject(unknownOutcome('the body was cut off', 'body_cut_off', HTTP_BAD_REQUEST));
+    whole.reject(unknownOutcomeProblem('the body was cut off', 'body_cut_off', HTTP_BAD_REQUEST));
   request.on('data', take);
   request.once('end', () => whole.resolve(Buffer.concat(chunks)));
   request.once('error', cutOff);
--- a/src/http/problem.ts
+++ b/src/http/problem.ts
@@ -55,7 +55,7 @@
 }
 
 /** A request that is refused without a word on whether a copy of it ran, or ever will. */
-export function unknownOutcome(detail: string, code: string, status: number): HttpProblem {
+export function unknownOutcomeProblem(detail: string, code: string, status: number): HttpProblem {
   return new HttpProblem({ status, code, detail, outcome: 'unknown', sendAgain: false });
 }
 
