--- a/emulator/engine/engine-server.ts
+++ b/emulator/engine/engine-server.ts
@@ -7,7 +7,7 @@
   HttpProblem,
   HttpRouter,
   HttpServer,
-  badRequest,
+  badRequestProblem,
   formatEvent,
   readJson,
   sendJson,
@@ -164,14 +164,15 @@
 
   private async complete({ request, response }: HttpExchange): Promise<void> {
     const parsed = completionSchema.safeParse(await readJson(request, MAX_BODY_BYTES));
-    if (!parsed.success) throw badRequest(parsed.error.message);
+    if (!parsed.success) throw badRequestProblem(parsed.error.message);
     if (await this.faults.applyBeforeAnswer(response)) return;
     const body = parsed.data;
     const { tenant, program, sequence, attempt, cost_ceiling, hold_ms } = body.ledgegauge;
-    if (!this.orders.serves(body.model)) throw badRequest('model is not loaded', 'no_model', 404);
+    if (!this.orders.serves(body.model))
+      throw badRequestProblem('model is not loaded', 'no_model', 404);
     const promptTokens = countMessageTokens(body.messages);
     if (promptTokens + body.max_tokens > cost_ceiling) {
-      throw badRequest('prompt and max_tokens exceed the cost ceiling', 'over_ceiling', 422);
+      throw badRequestProblem('prompt and max_tokens exceed the cost ceiling', 'over_ceiling', 422);
     }
     const engineRequest: EngineRequest = {
       tenant,
@@ -190,8 +191,9 @@
       throw refusal('draining', 'this engine takes no new work');
     }
     const result = this.model.submit(engineRequest);
-    if (result.kind === 'fenced') throw badRequest('a newer attempt is known', 'fenced', 409);
-    if (result.kind === 'too-long') throw badRequest('prompt is too long', 'too_long', 422);
+    if (result.kind === 'fenced')
+      throw badRequestProblem('a newer attempt is known', 'fenced', 409);
+    if (result.kind === 'too-long') throw badRequestProblem('prompt is too long', 'too_long', 422);
     if (result.kind === 'overloaded') throw refusal('overloaded', 'the queue is full');
     const arrival = { tenant, program, sequence, attempt, promptTokens, wallClockMs: Date.now() };
     this.arrivals.push(arrival);
@@ -205,7 +207,7 @@
     const stream = this.model.findStream(parameters.program!, Number(parameters.sequence));
     const attempt = Number(query.get('attempt'));
     const isKnown = stream?.request.attempt === attempt && stream.state !== 'cancelled';
-    if (!stream || !isKnown) throw badRequest('no such stream', 'no_stream', 404);
+    if (!stream || !isKnown) throw badRequestProblem('no such stream', 'no_stream', 404);
     this.stream(response, stream, Number(query.get('from') ?? 0));
   }
 
@@ -278,8 +280,9 @@
 
   private async order({ request, response }: HttpExchange): Promise<void> {
     const parsed = orderSchema.safeParse(await readJson(request, MAX_BODY_BYTES));
-    if (!parsed.success) throw badRequest(parsed.error.message);
-    if (!this.orders.take(parsed.data)) throw badRequest('a newer order is known', 'fenced', 409);
+    if (!parsed.success) throw badRequestProblem(parsed.error.message);
+    if (!this.orders.take(parsed.data))
+      throw badRequestProblem('a newer order is known', 'fenced', 409);
     this.logger.info('order taken', { fence: parsed.data.fence, role: parsed.data.role });
     await this.orders.loadModels();
     sendJson(response, 200, { fence: parsed.data.fence });
--- a/emulator/fault-proxy/fault-proxy.ts
+++ b/emulator/fault-proxy/fault-proxy.ts
@@ -2,7 +2,13 @@
 import { type Server, createServer } from 'node:net';
 import { z } from 'zod';
 import { addStatusPages } from '../status-pages.js';
-import { HttpRouter, HttpServer, badRequest, readJson, sendJson } from '../../src/http/index.js';
+import {
+  HttpRouter,
+  HttpServer,
+  badRequestProblem,
+  readJson,
+  sendJson,
+} from '../../src/http/index.js';
 import type { Logger } from '../../src/observability/index.js';
 import {
   type FaultProxySettings,
@@ -118,7 +124,7 @@
     const router = new HttpRouter()
       .on('POST', '/v1/faults', async ({ request, response }) => {
         const body = faultRequestSchema.safeParse(await readJson(request, MAX_BODY_BYTES));
-        if (!body.success) throw badRequest(body.error.message);
+        if (!body.success) throw badRequestProblem(body.error.message);
         sendJson(response, 200, { changed: this.setFault(body.data.links, body.data.fault) });
       })
       .on('GET', '/v1/links', async ({ response }) =>
--- a/emulator/service/service-server.ts
+++ b/emulator/service/service-server.ts
@@ -8,7 +8,7 @@
   type HttpExchange,
   HttpRouter,
   HttpServer,
-  badRequest,
+  badRequestProblem,
   readJson,
   sendJson,
 } from '../../src/http/index.js';
@@ -100,15 +100,15 @@
 
   private async execute({ request, response, parameters }: HttpExchange): Promise<void> {
     const key = request.headers['x-execution-key'];
-    if (typeof key !== 'string') throw badRequest('x-execution-key is missing');
+    if (typeof key !== 'string') throw badRequestProblem('x-execution-key is missing');
     const body = z
       .object({ payload: z.string() })
       .safeParse(await readJson(request, MAX_BODY_BYTES));
-    if (!body.success) throw badRequest('payload is missing');
+    if (!body.success) throw badRequestProblem('payload is missing');
     const service = parameters.service!;
     const operation = parameters.operation!;
     const fault = this.takeFault();
-    if (fault === 'error') throw badRequest('the service failed', 'service_failed', 500);
+    if (fault === 'error') throw badRequestProblem('the service failed', 'service_failed', 500);
     const { payload } = body.data;
     const execution = { key, service, operation, payload, wallClockMs: Date.now() };
     this.executions.push(execution);
--- a/src/callers/caller-api.ts
+++ b/src/callers/caller-api.ts
@@ -1,7 +1,13 @@
 /** The callers' HTTP interface: programs, their calls, and plain chat completions. */
 import type { ServerResponse } from 'node:http';
 import { GroupUnavailableError } from '../consensus/index.js';
-import { type HttpExchange, HttpRouter, badRequest, readJson, sendJson } from '../http/index.js';
+import {
+  type HttpExchange,
+  HttpRouter,
+  badRequestProblem,
+  readJson,
+  sendJson,
+} from '../http/index.js';
 import type { TenantIntent } from '../intents/index.js';
 import {
   type CallResponse,
@@ -191,7 +197,11 @@
     const answer = await context.journal.open(command);
     if (answer.status === 'refused') throw refusalProblem(answer.reason, answer.canSendAgain);
     if (answer.status === 'conflict') {
-      throw badRequest('the Idempotency-Key was used for another program', 'key_reused', 409);
+      throw badRequestProblem(
+        'the Idempotency-Key was used for another program',
+        'key_reused',
+        409,
+      );
     }
     context.hints.noteOpened(answer.program);
     return answer.program;
@@ -204,7 +214,7 @@
   ): OpenCommand {
     const { programs } = this.options.context.settings;
     if (!tenant.models.includes(body.model)) {
-      throw badRequest('this tenant may not use the model', 'model_not_allowed', 403);
+      throw badRequestProblem('this tenant may not use the model', 'model_not_allowed', 403);
     }
     if (body.parent !== undefined && !isProgramId(body.parent)) throw unknownProgramProblem();
     const programId = createProgramId(tenant.id, body.parent, idempotencyKey);
@@ -287,7 +297,7 @@
     case 'unknown-program':
       throw unknownProgramProblem();
     case 'unknown-call':
-      throw badRequest('no such call is recorded', 'unknown_call', 404);
+      throw badRequestProblem('no such call is recorded', 'unknown_call', 404);
   }
 }
 
@@ -301,14 +311,14 @@
   if (header === undefined) return undefined;
   const isUsable = typeof header === 'string' && header.length > 0;
   if (!isUsable || header.length > LONGEST_IDEMPOTENCY_KEY) {
-    throw badRequest(`Idempotency-Key must have 1 to ${LONGEST_IDEMPOTENCY_KEY} characters`);
+    throw badRequestProblem(`Idempotency-Key must have 1 to ${LONGEST_IDEMPOTENCY_KEY} characters`);
   }
   return header;
 }
 
 function parseOffset(text: string): number {
   const offset = Number(text);
-  if (!Number.isInteger(offset) || offset < 0) throw badRequest('from must be a position');
+  if (!Number.isInteger(offset) || offset < 0) throw badRequestProblem('from must be a position');
   return offset;
 }
 
--- a/src/callers/request-schemas.ts
+++ b/src/callers/request-schemas.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage } from 'node:http';
 import { z } from 'zod';
 import { sha256Hex } from '../common/index.js';
-import { badRequest } from '../http/index.js';
+import { badRequestProblem } from '../http/index.js';
 
 const MAX_MESSAGES = 4_096;
 const MAX_OUTPUT_TOKENS = 131_072;
@@ -65,14 +65,14 @@
   const lines = parsed.error.issues.map(
     (issue) => `${issue.path.map(String).join('.') || 'body'}: ${issue.message}`,
   );
-  throw badRequest(lines.join('; '), 'invalid_body', 422);
+  throw badRequestProblem(lines.join('; '), 'invalid_body', 422);
 }
 
 /** Reads a call's sequence number from the path. @throws HttpProblem */
 export function parseSequence(text: string): number {
   const sequence = Number(text);
   if (!Number.isInteger(sequence) || sequence < 1 || sequence > MAX_SEQUENCE) {
-    throw badRequest(`the sequence number must be from 1 to ${MAX_SEQUENCE}`);
+    throw badRequestProblem(`the sequence number must be from 1 to ${MAX_SEQUENCE}`);
   }
   return sequence;
 }
@@ -82,7 +82,7 @@
   const header = request.headers['ledgegauge-submission'] ?? '1';
   const submission = Number(header);
   if (!Number.isInteger(submission) || submission < 1) {
-    throw badRequest('Ledgegauge-Submission must be a whole number from 1');
+    throw badRequestProblem('Ledgegauge-Submission must be a whole number from 1');
   }
   return submission;
 }
--- a/src/http/http-server.ts
+++ b/src/http/http-server.ts
@@ -4,7 +4,7 @@
 import { Deferred, describeError, sleep } from '../common/index.js';
 import {
   HttpProblem,
-  badRequest,
+  badRequestProblem,
   problemBody,
   problemHeaders,
   unknownOutcomeProblem,
@@ -140,7 +140,7 @@
     try {
       const url = new URL(request.url ?? '/', 'http://localhost');
       const match = this.options.router.find(request.method ?? 'GET', url.pathname);
-      if (!match) throw badRequest('no such path', 'not_found', HTTP_NOT_FOUND);
+      if (!match) throw badRequestProblem('no such path', 'not_found', HTTP_NOT_FOUND);
       const { handler, parameters } = match;
       await handler({ request, response, parameters, query: url.searchParams });
     } catch (error) {
@@ -209,7 +209,7 @@
   try {
     return JSON.parse(body.toString('utf8')) as unknown;
   } catch {
-    throw badRequest('the body is not JSON');
+    throw badRequestProblem('the body is not JSON');
   }
 }
 
@@ -226,7 +226,7 @@
     }
     request.off('data', take);
     const detail = `the body exceeds ${maxBytes} bytes`;
-    whole.reject(badRequest(detail, 'body_too_large', HTTP_PAYLOAD_TOO_LARGE));
+    whole.reject(badRequestProblem(detail, 'body_too_large', HTTP_PAYLOAD_TOO_LARGE));
   };
   const cutOff = (): void =>
     whole.reject(unknownOutcomeProblem('the body was cut off', 'body_cut_off', HTTP_BAD_REQUEST));
--- a/src/http/problem.ts
+++ b/src/http/problem.ts
@@ -60,6 +60,6 @@
 }
 
 /** A request that is wrong in itself: it did not run, and sending it again is no use. */
-export function badRequest(detail: string, code = 'bad_request', status = 400): HttpProblem {
+export function badRequestProblem(detail: string, code = 'bad_request', status = 400): HttpProblem {
   return new HttpProblem({ status, code, detail, outcome: 'not_run', sendAgain: false });
 }
--- a/src/operators/operator-api.ts
+++ b/src/operators/operator-api.ts
@@ -13,7 +13,7 @@
   type HttpExchange,
   HttpProblem,
   HttpRouter,
-  badRequest,
+  badRequestProblem,
   readJson,
   sendJson,
 } from '../http/index.js';
@@ -70,7 +70,7 @@
     const command = { operator, ...declared };
     const result = await this.execute<typeof command, PlanResult>(command);
     if (result.status === 'inconsistent') {
-      throw badRequest(result.problems.join('; '), 'invalid_document', 422);
+      throw badRequestProblem(result.problems.join('; '), 'invalid_document', 422);
     }
     sendJson(response, 201, result.plan);
   }
@@ -78,7 +78,7 @@
   private async readPlan({ request, response, parameters }: HttpExchange): Promise<void> {
     this.authenticate(request);
     const plan = await this.query<Plan | null>({ type: 'plan', planId: parameters.id! });
-    if (!plan) throw badRequest('no such plan', 'unknown_plan', 404);
+    if (!plan) throw badRequestProblem('no such plan', 'unknown_plan', 404);
     sendJson(response, 200, plan);
   }
 
@@ -86,7 +86,7 @@
     const operator = this.authenticate(request);
     const requestId = request.headers['idempotency-key'];
     if (typeof requestId !== 'string' || requestId.length === 0) {
-      throw badRequest('an Idempotency-Key header is needed, so that a repeat does no harm');
+      throw badRequestProblem('an Idempotency-Key header is needed, so that a repeat does no harm');
     }
     const command: ConfirmCommand = {
       type: 'confirm',
@@ -108,7 +108,7 @@
     this.authenticate(request);
     const limit = Number(query.get('limit') ?? DEFAULT_HISTORY_LIMIT);
     if (!Number.isInteger(limit) || limit < 1 || limit > MAX_HISTORY_LIMIT) {
-      throw badRequest(`limit must be from 1 to ${MAX_HISTORY_LIMIT}`);
+      throw badRequestProblem(`limit must be from 1 to ${MAX_HISTORY_LIMIT}`);
     }
     sendJson(response, 200, await this.query<Revision[]>({ type: 'history', limit }));
   }
@@ -156,7 +156,7 @@
     const key = header.startsWith('Bearer ') ? header.slice('Bearer '.length) : '';
     const hash = sha256Hex(key);
     const operator = this.options.operators.find((candidate) => candidate.keyHash === hash);
-    if (!operator) throw badRequest('unknown key', 'unauthorized', 401);
+    if (!operator) throw badRequestProblem('unknown key', 'unauthorized', 401);
     return operator.name;
   }
 
@@ -188,20 +188,21 @@
   const parsed = schema.safeParse(body);
   if (parsed.success) return parsed.data;
   const lines = parsed.error.issues.map((issue) => `${issue.path.join('.')}: ${issue.message}`);
-  throw badRequest(lines.join('; '), 'invalid_document', 422);
+  throw badRequestProblem(lines.join('; '), 'invalid_document', 422);
 }
 
 function confirmProblem(result: Exclude<ConfirmResult, { status: 'accepted' }>): HttpProblem {
-  if (result.status === 'unknown-plan') return badRequest('no such plan', 'unknown_plan', 404);
+  if (result.status === 'unknown-plan')
+    return badRequestProblem('no such plan', 'unknown_plan', 404);
   if (result.status === 'request-reused') {
     const detail = `this Idempotency-Key was used for plan ${result.planId}`;
-    return badRequest(detail, 'idempotency_key_reused', 422);
+    return badRequestProblem(detail, 'idempotency_key_reused', 422);
   }
   const { revision, operator, planId, contentHash } = result.current;
   const detail =
     `revision ${revision} was confirmed first: plan ${planId} of ${operator}, ` +
     `content ${contentHash}; plan again`;
-  return badRequest(detail, 'stale_plan', 409);
+  return badRequestProblem(detail, 'stale_plan', 409);
 }
 
 async function orUnavailable<T>(work: Promise<T>): Promise<T> {
