--- a/src/cli/account-command.ts
+++ b/src/cli/account-command.ts
@@ -2,7 +2,7 @@
 import type { CAC } from 'cac';
 import { type RunSummary, type TurnLatencyBreakdown, summarizeRun } from '../explain/index.js';
 import { UsageError } from './daemon-command.js';
-import { readRecords } from './log-files.js';
+import { readLogRecords } from './log-files.js';
 import { runAction } from './run-daemon.js';
 
 const MOST_FAILURES = 12;
@@ -14,7 +14,7 @@
     .action((files: string[], flags: { json?: boolean }) =>
       runAction(() => {
         if (files.length === 0) throw new UsageError('name at least one log file');
-        const account = summarizeRun(files.flatMap(readRecords));
+        const account = summarizeRun(files.flatMap(readLogRecords));
         process.stdout.write(`${flags.json ? JSON.stringify(account) : describe(account)}\n`);
       }),
     );
--- a/src/cli/explain-command.ts
+++ b/src/cli/explain-command.ts
@@ -2,7 +2,7 @@
 import type { CAC } from 'cac';
 import { type Explanation, type LogRecord, type RestoredTurns, explain } from '../explain/index.js';
 import { UsageError } from './daemon-command.js';
-import { readRecords } from './log-files.js';
+import { readLogRecords } from './log-files.js';
 import { runAction } from './run-daemon.js';
 
 export function addExplainCommand(cli: CAC): void {
@@ -12,7 +12,7 @@
     .action((id: string, files: string[], flags: { json?: boolean }) =>
       runAction(() => {
         if (files.length === 0) throw new UsageError('name at least one log file');
-        const explanation = explain(String(id), files.flatMap(readRecords));
+        const explanation = explain(String(id), files.flatMap(readLogRecords));
         const text = flags.json ? JSON.stringify(explanation) : describe(String(id), explanation);
         process.stdout.write(`${text}\n`);
       }),
--- a/src/cli/log-files.ts
+++ b/src/cli/log-files.ts
@@ -3,7 +3,7 @@
 import { type LogRecord, parseLogLine } from '../explain/index.js';
 
 /** The records of a file; lines that are none are passed over. */
-export function readRecords(file: string): LogRecord[] {
+export function readLogRecords(file: string): LogRecord[] {
   const lines = readFileSync(file, 'utf8').split('\n');
   return lines.flatMap((line) => parseLogLine(line) ?? []);
 }
