--- a/src/cli/explain-command.ts
+++ b/src/cli/explain-command.ts
@@ -2,7 +2,7 @@
 import type { CAC } from 'cac';
 import { type Explanation, type LogRecord, type RestoredTurns, explain } from '../explain/index.js';
 import { UsageError } from './daemon-command.js';
-import { readLogRecords } from './log-files.js';
+import { readLogRecords } from './log-reader.js';
 import { runAction } from './run-daemon.js';
 
 export function addExplainCommand(cli: CAC): void {
