--- a/src/forwarding/buffered-answer.ts
+++ b/src/forwarding/buffered-answer.ts
@@ -1,5 +1,5 @@
 /** Collects a short answer and passes it on once it is whole; long ones are passed on as they come. */
-import type { AnswerHead, CallExchange } from './call-exchange.js';
+import type { ResponseHead, CallExchange } from './call-exchange.js';
 import { CallerAnswer } from './caller-answer.js';
 import type { AnswerSink } from './send-attempt.js';
 
@@ -29,7 +29,7 @@
     this.bytes = 0;
   }
 
-  onHead(head: AnswerHead): void {
+  onHead(head: ResponseHead): void {
     this.answer.head = head;
   }
 
--- a/src/forwarding/call-exchange.ts
+++ b/src/forwarding/call-exchange.ts
@@ -79,7 +79,7 @@
 }
 
 /** Head of a back end's answer, passed on unchanged. */
-export interface AnswerHead {
+export interface ResponseHead {
   status: number;
   statusText: string;
   /** Names and values in turn. */
@@ -94,7 +94,7 @@
   /** Whether the caller has left. */
   readonly isAbandoned: boolean;
   onAbandoned(listener: () => void): void;
-  begin(head: AnswerHead): void;
+  begin(head: ResponseHead): void;
   /** @returns false when the caller reads slowly; `onDrained` follows */
   write(chunk: Uint8Array): boolean;
   onDrained(listener: () => void): void;
--- a/src/forwarding/caller-answer.ts
+++ b/src/forwarding/caller-answer.ts
@@ -1,9 +1,9 @@
 /** The way of one answer to its caller: its head once, then its parts, waiting for slow readers. */
-import type { AnswerHead, CallExchange } from './call-exchange.js';
+import type { ResponseHead, CallExchange } from './call-exchange.js';
 
 export class CallerAnswer {
   /** Head of the answer, once a back end has sent one. */
-  head: AnswerHead | undefined;
+  head: ResponseHead | undefined;
   private begun = false;
   private isSlow = false;
   private resume: (() => void) | undefined;
--- a/src/forwarding/send-attempt.ts
+++ b/src/forwarding/send-attempt.ts
@@ -7,7 +7,7 @@
 import type { BackendConnection } from './backend-connections.js';
 import type { AnswerVerdict, BackendProtocol, RequestHead } from './backend-protocol.js';
 import { type AnswerEnd, endOfAnswer } from './answer-end.js';
-import type { AnswerHead } from './call-exchange.js';
+import type { ResponseHead } from './call-exchange.js';
 
 export type SendResult =
   /** A whole answer was received. */
@@ -23,7 +23,7 @@
 
 /** Takes the parts of an answer as they come. */
 export interface AnswerSink {
-  onHead(head: AnswerHead): void;
+  onHead(head: ResponseHead): void;
   /** @returns false to be asked for more later, through `SendAttempt.resume` */
   onData(chunk: Buffer): boolean;
   /** Why the answer is of no use, once that is known; it is given up then. */
--- a/src/forwarding/stream-relay.ts
+++ b/src/forwarding/stream-relay.ts
@@ -4,7 +4,7 @@
  * not passed on.
  */
 import { firstHeader } from '../http/index.js';
-import type { AnswerHead, CallExchange } from './call-exchange.js';
+import type { ResponseHead, CallExchange } from './call-exchange.js';
 import { CallerAnswer } from './caller-answer.js';
 import { EventSequence } from './event-sequence.js';
 import { EventSplitter, type StreamEvent, dataOfEvent } from './event-splitter.js';
@@ -81,7 +81,7 @@
     if (!this.hasBegun) this.answer.head = undefined;
   }
 
-  onHead(head: AnswerHead): void {
+  onHead(head: ResponseHead): void {
     const { head: first } = this.answer;
     if (!first) this.answer.head = this.framedByEvents(head);
     // Whatever else a back end answers, its end is not the end of the stream.
@@ -127,15 +127,15 @@
   }
 
   /** The length of one run is not that of the stream when others take it up. */
-  private framedByEvents(head: AnswerHead): AnswerHead {
+  private framedByEvents(head: ResponseHead): ResponseHead {
     if (!this.options.isResumable || head.status !== HTTP_OK) return head;
     return { ...head, headers: withoutHeader(head.headers, CONTENT_LENGTH) };
   }
 }
 
 /** Whether a run with this head may take up the stream of another. */
-function isSameKind(first: AnswerHead, head: AnswerHead): boolean {
-  const typeOf = ({ headers }: AnswerHead): string | undefined =>
+function isSameKind(first: ResponseHead, head: ResponseHead): boolean {
+  const typeOf = ({ headers }: ResponseHead): string | undefined =>
     firstHeader(headers, CONTENT_TYPE);
   return first.status === head.status && typeOf(first) === typeOf(head);
 }
