--- a/src/forwarding/backend-protocol.ts
+++ b/src/forwarding/backend-protocol.ts
@@ -23,7 +23,7 @@
 }
 
 /** What the head of an answer says of itself. */
-export interface AnswerVerdict {
+export interface ParsedResponseHead {
   /** The call that the answer belongs to, as the back end echoes it. */
   callId?: string;
   /** The back end states that it did not run the call. */
@@ -38,5 +38,5 @@
 
 export interface BackendProtocol {
   encodeRequest(call: CallDescription, send: SendOptions): RequestHead;
-  readHead(status: number, rawHeaders: readonly string[]): AnswerVerdict;
+  readHead(status: number, rawHeaders: readonly string[]): ParsedResponseHead;
 }
--- a/src/forwarding/send-attempt.ts
+++ b/src/forwarding/send-attempt.ts
@@ -5,7 +5,7 @@
 import type { Dispatcher } from 'undici';
 import { headerValues } from '../http/index.js';
 import type { BackendConnection } from './backend-connections.js';
-import type { AnswerVerdict, BackendProtocol, RequestHead } from './backend-protocol.js';
+import type { ParsedResponseHead, BackendProtocol, RequestHead } from './backend-protocol.js';
 import { type AnswerEnd, endOfAnswer } from './answer-end.js';
 import type { ResponseHead } from './call-exchange.js';
 
@@ -48,7 +48,7 @@
   headAt: number | undefined;
   private hadHead = false;
   private stopReason: 'stopped' | 'not-executed' | 'broken' | undefined;
-  private verdict: AnswerVerdict | undefined;
+  private verdict: ParsedResponseHead | undefined;
   private brokenCause = '';
   private isLastOnConnection = false;
   private endedBy: AnswerEnd = 'close';
