--- a/src/forwarding/buffered-answer.ts
+++ b/src/forwarding/buffered-answer.ts
@@ -1,11 +1,11 @@
 /** Collects a short answer and passes it on once it is whole; long ones are passed on as they come. */
 import type { ResponseHead, CallExchange } from './call-exchange.js';
 import { CallerAnswer } from './caller-answer.js';
-import type { AnswerSink } from './send-attempt.js';
+import type { ResponseSink } from './send-attempt.js';
 
 const MAX_BUFFERED_BYTES = 256 * 1024;
 
-export class BufferedAnswer implements AnswerSink {
+export class BufferedAnswer implements ResponseSink {
   private chunks: Buffer[] = [];
   private bytes = 0;
   private readonly answer: CallerAnswer;
--- a/src/forwarding/send-attempt.ts
+++ b/src/forwarding/send-attempt.ts
@@ -22,7 +22,7 @@
   | { kind: 'stopped'; wasSent: boolean };
 
 /** Takes the parts of an answer as they come. */
-export interface AnswerSink {
+export interface ResponseSink {
   onHead(head: ResponseHead): void;
   /** @returns false to be asked for more later, through `SendAttempt.resume` */
   onData(chunk: Buffer): boolean;
@@ -36,7 +36,7 @@
   request: RequestHead;
   body: Buffer;
   callId: string | undefined;
-  sink: AnswerSink;
+  sink: ResponseSink;
   /** Called when bytes of the answer come in. */
   onHeard: () => void;
 }
--- a/src/forwarding/stream-relay.ts
+++ b/src/forwarding/stream-relay.ts
@@ -8,7 +8,7 @@
 import { CallerAnswer } from './caller-answer.js';
 import { EventSequence } from './event-sequence.js';
 import { EventSplitter, type StreamEvent, dataOfEvent } from './event-splitter.js';
-import type { AnswerSink } from './send-attempt.js';
+import type { ResponseSink } from './send-attempt.js';
 
 const HTTP_OK = 200;
 const CONTENT_TYPE = 'content-type';
@@ -22,7 +22,7 @@
   isResumable: boolean;
 }
 
-export class StreamRelay implements AnswerSink {
+export class StreamRelay implements ResponseSink {
   /** Events passed on to the caller. */
   events = 0;
   /** Id of the last event passed on. */
