--- a/src/forwarding/buffered-answer.ts
+++ b/src/forwarding/buffered-answer.ts
@@ -5,7 +5,7 @@
 
 const MAX_BUFFERED_BYTES = 256 * 1024;
 
-export class BufferedAnswer implements ResponseSink {
+export class BufferedResponse implements ResponseSink {
   private chunks: Buffer[] = [];
   private bytes = 0;
   private readonly answer: CallerAnswer;
--- a/src/forwarding/call-run.ts
+++ b/src/forwarding/call-run.ts
@@ -5,7 +5,7 @@
 import type { BackendConnection } from './backend-connections.js';
 import type { BackendProtocol } from './backend-protocol.js';
 import type { BackendState, BackendView } from './backend-view.js';
-import { BufferedAnswer } from './buffered-answer.js';
+import { BufferedResponse } from './buffered-answer.js';
 import type { CallExchange, RefusalReason } from './call-exchange.js';
 import type { Choice, Placement } from './placement.js';
 import { SendAttempt, type SendResult } from './send-attempt.js';
@@ -66,7 +66,7 @@
 
 export class CallRun {
   readonly sends: SendRecord[] = [];
-  readonly answer: StreamRelay | BufferedAnswer;
+  readonly answer: StreamRelay | BufferedResponse;
   private readonly service: string;
   private readonly excluded = new Set<string>();
   /** Back ends that may have received the call. */
@@ -88,7 +88,7 @@
     this.answer =
       kind === 'streaming'
         ? new StreamRelay({ exchange, collectsOutput, isResumable })
-        : new BufferedAnswer(exchange);
+        : new BufferedResponse(exchange);
   }
 
   /** Id of the back end whose whole answer was passed on. */
