--- a/src/forwarding/buffered-answer.ts
+++ b/src/forwarding/buffered-answer.ts
@@ -1,6 +1,6 @@
 /** Collects a short answer and passes it on once it is whole; long ones are passed on as they come. */
 import type { ResponseHead, CallExchange } from './call-exchange.js';
-import { CallerAnswer } from './caller-answer.js';
+import { CallerResponse } from './caller-answer.js';
 import type { ResponseSink } from './send-attempt.js';
 
 const MAX_BUFFERED_BYTES = 256 * 1024;
@@ -8,10 +8,10 @@
 export class BufferedResponse implements ResponseSink {
   private chunks: Buffer[] = [];
   private bytes = 0;
-  private readonly answer: CallerAnswer;
+  private readonly answer: CallerResponse;
 
   constructor(exchange: CallExchange) {
-    this.answer = new CallerAnswer(exchange);
+    this.answer = new CallerResponse(exchange);
   }
 
   get hasBegun(): boolean {
--- a/src/forwarding/caller-answer.ts
+++ b/src/forwarding/caller-answer.ts
@@ -1,7 +1,7 @@
 /** The way of one answer to its caller: its head once, then its parts, waiting for slow readers. */
 import type { ResponseHead, CallExchange } from './call-exchange.js';
 
-export class CallerAnswer {
+export class CallerResponse {
   /** Head of the answer, once a back end has sent one. */
   head: ResponseHead | undefined;
   private begun = false;
--- a/src/forwarding/stream-relay.ts
+++ b/src/forwarding/stream-relay.ts
@@ -5,7 +5,7 @@
  */
 import { firstHeader } from '../http/index.js';
 import type { ResponseHead, CallExchange } from './call-exchange.js';
-import { CallerAnswer } from './caller-answer.js';
+import { CallerResponse } from './caller-answer.js';
 import { EventSequence } from './event-sequence.js';
 import { EventSplitter, type StreamEvent, dataOfEvent } from './event-splitter.js';
 import type { ResponseSink } from './send-attempt.js';
@@ -33,13 +33,13 @@
   /** Absent where each stream is one run, whose ids are its own matter. */
   private readonly sequence: EventSequence | undefined;
   private readonly output: Buffer[] = [];
-  private readonly answer: CallerAnswer;
+  private readonly answer: CallerResponse;
   private currentObjection: string | undefined;
 
   constructor(private readonly options: StreamRelayOptions) {
     this.lastEventId = options.exchange.description.lastEventId;
     this.sequence = options.isResumable ? new EventSequence(this.lastEventId) : undefined;
-    this.answer = new CallerAnswer(options.exchange);
+    this.answer = new CallerResponse(options.exchange);
   }
 
   get objection(): string | undefined {
