--- a/src/forwarding/buffered-answer.ts
+++ b/src/forwarding/buffered-answer.ts
@@ -1,6 +1,6 @@
 /** Collects a short answer and passes it on once it is whole; long ones are passed on as they come. */
 import type { ResponseHead, CallExchange } from './call-exchange.js';
-import { CallerResponse } from './caller-answer.js';
+import { CallerResponse } from './caller-response.js';
 import type { ResponseSink } from './send-attempt.js';
 
 const MAX_BUFFERED_BYTES = 256 * 1024;
--- a/src/forwarding/stream-relay.ts
+++ b/src/forwarding/stream-relay.ts
@@ -5,7 +5,7 @@
  */
 import { firstHeader } from '../http/index.js';
 import type { ResponseHead, CallExchange } from './call-exchange.js';
-import { CallerResponse } from './caller-answer.js';
+import { CallerResponse } from './caller-response.js';
 import { EventSequence } from './event-sequence.js';
 import { EventSplitter, type StreamEvent, dataOfEvent } from './event-splitter.js';
 import type { ResponseSink } from './send-attempt.js';
