--- a/src/forwarding/answer-end.ts
+++ b/src/forwarding/answer-end.ts
@@ -2,7 +2,7 @@
 import { firstHeader, headerValues } from '../http/index.js';
 
 /** What marks the end of an answer. Anything else that ends a connection cuts the answer off. */
-export type AnswerEnd =
+export type ResponseFraming =
   /** The end of its head: the answer has no body. */
   | 'head'
   /** The byte that its length names. */
@@ -19,7 +19,7 @@
   method: string,
   status: number,
   rawHeaders: readonly string[],
-): AnswerEnd {
+): ResponseFraming {
   if (method === 'HEAD' || STATUSES_WITHOUT_BODY.has(status)) return 'head';
   const codings = headerValues(rawHeaders, 'transfer-encoding');
   if (codings.length > 0) return isChunked(codings) ? 'last-chunk' : 'close';
--- a/src/forwarding/send-attempt.ts
+++ b/src/forwarding/send-attempt.ts
@@ -6,12 +6,12 @@
 import { headerValues } from '../http/index.js';
 import type { BackendConnection } from './backend-connections.js';
 import type { ParsedResponseHead, BackendProtocol, RequestHead } from './backend-protocol.js';
-import { type AnswerEnd, endOfAnswer } from './answer-end.js';
+import { type ResponseFraming, endOfAnswer } from './answer-end.js';
 import type { ResponseHead } from './call-exchange.js';
 
 export type SendResult =
   /** A whole answer was received. */
-  | { kind: 'complete'; endedBy: AnswerEnd }
+  | { kind: 'complete'; endedBy: ResponseFraming }
   /** No byte of the call reached the back end. */
   | { kind: 'not-sent'; cause: string }
   /** The back end states that it did not run the call. */
@@ -51,7 +51,7 @@
   private verdict: ParsedResponseHead | undefined;
   private brokenCause = '';
   private isLastOnConnection = false;
-  private endedBy: AnswerEnd = 'close';
+  private endedBy: ResponseFraming = 'close';
   private controller: Dispatcher.DispatchController | undefined;
   private finish!: (result: SendResult) => void;
 
