--- a/src/forwarding/answer-end.ts
+++ b/src/forwarding/answer-end.ts
@@ -15,7 +15,7 @@
 const STATUSES_WITHOUT_BODY: ReadonlySet<number> = new Set([204, 304]);
 
 /** @param rawHeaders names and values in turn */
-export function endOfAnswer(
+export function responseFraming(
   method: string,
   status: number,
   rawHeaders: readonly string[],
--- a/src/forwarding/send-attempt.ts
+++ b/src/forwarding/send-attempt.ts
@@ -6,7 +6,7 @@
 import { headerValues } from '../http/index.js';
 import type { BackendConnection } from './backend-connections.js';
 import type { ParsedResponseHead, BackendProtocol, RequestHead } from './backend-protocol.js';
-import { type ResponseFraming, endOfAnswer } from './answer-end.js';
+import { type ResponseFraming, responseFraming } from './answer-end.js';
 import type { ResponseHead } from './call-exchange.js';
 
 export type SendResult =
@@ -109,7 +109,7 @@
     const rawHeaders = textOf(controller.rawHeaders);
     const verdict = this.options.protocol.readHead(statusCode, rawHeaders);
     this.verdict = verdict;
-    this.endedBy = endOfAnswer(this.options.request.method, statusCode, rawHeaders);
+    this.endedBy = responseFraming(this.options.request.method, statusCode, rawHeaders);
     this.isLastOnConnection = announcesClose(rawHeaders) || this.endedBy === 'close';
     if (verdict.callId !== undefined && verdict.callId !== this.options.callId) {
       this.giveUp('the answer belongs to another call');
