--- a/src/forwarding/backend-view.ts
+++ b/src/forwarding/backend-view.ts
@@ -101,7 +101,7 @@
    * A call was answered whole with an error of the back end's own. One that fails all calls answers them at once: by its
    * load and its pace it would draw more calls than any other. What was sent before it was suspect says nothing more.
    */
-  noteErrorAnswer(): void {
+  noteErrorResponse(): void {
     if (monotonicMs() >= this.suspectUntil) this.noteFailure();
   }
 
--- a/src/forwarding/call-run.ts
+++ b/src/forwarding/call-run.ts
@@ -254,7 +254,7 @@
 
   private judgeComplete(backend: BackendState): CallEnding | undefined {
     this.noteSent(backend);
-    if (this.isErrorAnswer) backend.noteErrorAnswer();
+    if (this.isErrorAnswer) backend.noteErrorResponse();
     else backend.noteSuccess();
     const isCut = this.answer instanceof StreamRelay && this.answer.hasPartialEvent;
     return isCut ? this.judgeBroken(backend) : { kind: 'answered' };
--- a/src/forwarding/error-responses.test.ts
+++ b/src/forwarding/error-responses.test.ts
@@ -87,7 +87,7 @@
 function end(backend: BackendState, notesErrors: boolean): void {
   backend.noteHeard();
   backend.endCall();
-  if (fails(backend) && notesErrors) backend.noteErrorAnswer();
+  if (fails(backend) && notesErrors) backend.noteErrorResponse();
   else backend.noteSuccess();
 }
 
