--- a/src/forwarding/call-forwarder.ts
+++ b/src/forwarding/call-forwarder.ts
@@ -8,7 +8,7 @@
 import type { BackendProtocol } from './backend-protocol.js';
 import type { BackendView } from './backend-view.js';
 import { type CallExchange, type RefusalReason, isFirstTurn } from './call-exchange.js';
-import { type CallEnding, CallRun } from './call-run.js';
+import { type CallOutcome, CallRun } from './call-run.js';
 import type { ForwardingMetrics } from './forwarding-metrics.js';
 import type { Placement } from './placement.js';
 import { ProgramAdmission } from './program-admission.js';
@@ -52,7 +52,7 @@
   exchange: CallExchange;
   route: CompiledRoute | undefined;
   tenant?: Tenant;
-  ending: CallEnding;
+  ending: CallOutcome;
   /** What a refusal went by. */
   details?: LogFields;
   /** Absent when the call was refused before it was sent anywhere. */
@@ -100,7 +100,7 @@
     } catch (error) {
       if (!(error instanceof RefusedError)) throw error;
       this.refuse(exchange, error.reason, error.retryAfterMs);
-      const ending: CallEnding = { kind: 'refused', reason: error.reason };
+      const ending: CallOutcome = { kind: 'refused', reason: error.reason };
       this.record({ exchange, route, ending, details: error.details });
     }
   }
@@ -210,7 +210,7 @@
   private noteEnd(
     { description: call, arrivedAt }: CallExchange,
     run: CallRun,
-    ending: CallEnding,
+    ending: CallOutcome,
   ): void {
     if (call.promptParts.length === 0 || run.calmMs === undefined) return;
     const { serviceName: service, calmMs } = run;
@@ -222,7 +222,7 @@
   }
 
   /** Gives the caller its final answer. */
-  private finish(exchange: CallExchange, run: CallRun, final: CallEnding): void {
+  private finish(exchange: CallExchange, run: CallRun, final: CallOutcome): void {
     switch (final.kind) {
       case 'answered':
         run.answer.end();
@@ -304,7 +304,7 @@
   return kind === 'unknown-key' ? 'unknown-key' : 'not-ready';
 }
 
-function isTimeLimit(ending: CallEnding): boolean {
+function isTimeLimit(ending: CallOutcome): boolean {
   if (ending.kind !== 'refused') return false;
   return ending.reason === 'time-limit' || ending.reason === 'time-limit-before-start';
 }
--- a/src/forwarding/call-run.ts
+++ b/src/forwarding/call-run.ts
@@ -12,7 +12,7 @@
 import { StreamRelay } from './stream-relay.js';
 
 /** How a call ended. */
-export type CallEnding =
+export type CallOutcome =
   | { kind: 'answered' }
   | { kind: 'refused'; reason: RefusalReason }
   | { kind: 'broken-off' }
@@ -117,7 +117,7 @@
   }
 
   /** Sends the call until it is answered or nothing more may be tried. Does not end the answer. */
-  async run(): Promise<CallEnding> {
+  async run(): Promise<CallOutcome> {
     const { exchange, deadlineMs } = this.options;
     const timer = setTimeout(() => this.onDeadline(), Math.max(0, deadlineMs - monotonicMs()));
     exchange.onAbandoned(() => this.attempt?.stop());
@@ -128,7 +128,7 @@
     }
   }
 
-  private async sendUntilAnswered(): Promise<CallEnding> {
+  private async sendUntilAnswered(): Promise<CallOutcome> {
     for (;;) {
       const stopped = this.endingOfStop() ?? this.endingOfDenial();
       if (stopped) return stopped;
@@ -228,7 +228,7 @@
   }
 
   /** @returns the ending, or nothing when the call is to be sent once more */
-  private judge(backend: BackendState, result: SendResult): CallEnding | undefined {
+  private judge(backend: BackendState, result: SendResult): CallOutcome | undefined {
     switch (result.kind) {
       case 'complete':
         return this.judgeComplete(backend);
@@ -252,7 +252,7 @@
     }
   }
 
-  private judgeComplete(backend: BackendState): CallEnding | undefined {
+  private judgeComplete(backend: BackendState): CallOutcome | undefined {
     this.noteSent(backend);
     if (this.isErrorAnswer) backend.noteErrorResponse();
     else backend.noteSuccess();
@@ -266,7 +266,7 @@
   }
 
   /** After a broken answer the call goes on only where running it again is allowed. */
-  private judgeBroken(backend: BackendState): CallEnding | undefined {
+  private judgeBroken(backend: BackendState): CallOutcome | undefined {
     const { kind, maxAttempts } = this.options.route.route;
     if (!this.mayRepeat || this.resends >= MAX_RESENDS) return this.endingOfBroken();
     this.resends += 1;
@@ -291,19 +291,19 @@
       .some((other) => other !== backend && !this.excluded.has(other.id));
   }
 
-  private endingOfBroken(): CallEnding {
+  private endingOfBroken(): CallOutcome {
     if (this.answer.hasBegun) return { kind: 'broken-off' };
     return { kind: 'refused', reason: 'outcome-unknown' };
   }
 
-  private endingWithoutBackend(): CallEnding {
+  private endingWithoutBackend(): CallOutcome {
     if (this.mayHaveRun) return this.endingOfBroken();
     if (this.sentTo.size > 0) return { kind: 'refused', reason: 'not-executed' };
     const hasAny = this.options.backends.serving(this.service).length > 0;
     return { kind: 'refused', reason: hasAny ? 'overloaded' : 'no-backend' };
   }
 
-  private endingOfStop(): CallEnding | undefined {
+  private endingOfStop(): CallOutcome | undefined {
     if (this.options.exchange.isAbandoned) return { kind: 'abandoned' };
     if (!this.isOverdue) return undefined;
     if (this.answer.hasBegun) return { kind: 'broken-off' };
@@ -313,7 +313,7 @@
     };
   }
 
-  private endingOfDenial(): CallEnding | undefined {
+  private endingOfDenial(): CallOutcome | undefined {
     const reason = this.options.denial();
     if (reason === undefined) return undefined;
     return this.mayHaveRun ? this.endingOfBroken() : { kind: 'refused', reason };
--- a/src/forwarding/turn-reservations.test.ts
+++ b/src/forwarding/turn-reservations.test.ts
@@ -14,7 +14,7 @@
 import type { CompiledRoute, Route } from '../routes/index.js';
 import type { Method } from '../wire/index.js';
 import type { CallExchange } from './call-exchange.js';
-import type { CallEnding, CallRun } from './call-run.js';
+import type { CallOutcome, CallRun } from './call-run.js';
 import { ForwardingMetrics } from './forwarding-metrics.js';
 import { RefusedError, TurnReservations } from './turn-reservations.js';
 
@@ -92,7 +92,7 @@
     id: string,
     previousTurn?: string,
     leftMs = ROUTE.timeoutMs,
-  ): Promise<{ settled: Promise<CallEnding> }> {
+  ): Promise<{ settled: Promise<CallOutcome> }> {
     const exchange = exchangeOf(id, previousTurn);
     const deadlineMs = monotonicMs() + leftMs;
     const reservation = await this.reservations.reserve(exchange, ROUTE, {
@@ -120,7 +120,7 @@
     ).settled;
     turns.ledger.isUp = false;
     const { settled } = await turns.run('b', 'a');
-    let ending: CallEnding | undefined;
+    let ending: CallOutcome | undefined;
     void settled.then((known) => (ending = known));
     await sleep(100);
     expect(ending).toBeUndefined();
--- a/src/forwarding/turn-reservations.ts
+++ b/src/forwarding/turn-reservations.ts
@@ -16,7 +16,7 @@
 import { scopedId } from '../tenants/index.js';
 import type { CallExchange, RefusalReason } from './call-exchange.js';
 import { describeSteps } from './call-log.js';
-import type { CallEnding, CallRun } from './call-run.js';
+import type { CallOutcome, CallRun } from './call-run.js';
 import type { ForwardingMetrics } from './forwarding-metrics.js';
 import type { StreamRelay } from './stream-relay.js';
 
@@ -64,7 +64,7 @@
 export interface FinishedTurn {
   exchange: CallExchange;
   run: CallRun;
-  ending: CallEnding;
+  ending: CallOutcome;
   route: CompiledRoute;
   reservation: Reservation;
   /** Monotonic time by which the call must have its final answer, in milliseconds. */
@@ -139,7 +139,7 @@
    * Replaces the reservation by what was passed on; a turn that is to be kept is committed first.
    * @returns the ending that the caller may be told
    */
-  async settle(turn: FinishedTurn): Promise<CallEnding> {
+  async settle(turn: FinishedTurn): Promise<CallOutcome> {
     const { run, ending, route, reservation } = turn;
     const { ledger } = this.options;
     const { program, attempt, allowanceTaken } = reservation;
@@ -202,7 +202,7 @@
     { exchange, ending, route, reservation, deadlineMs }: FinishedTurn,
     settlement: Settlement,
     output: Buffer,
-  ): Promise<CallEnding> {
+  ): Promise<CallOutcome> {
     const { ledger, logger } = this.options;
     const { attempt, previousTurn, history } = reservation;
     const input = exchange.description.body;
