--- a/src/forwarding/call-exchange.ts
+++ b/src/forwarding/call-exchange.ts
@@ -101,6 +101,6 @@
   /** Ends the answer as complete. */
   end(chunk?: Uint8Array): void;
   /** Ends the answer so that it can't look complete. */
-  breakOff(): void;
+  abort(): void;
   refuse(refusal: Refusal): void;
 }
--- a/src/forwarding/call-forwarder.test.ts
+++ b/src/forwarding/call-forwarder.test.ts
@@ -50,7 +50,7 @@
   }
   onDrained(): void {}
   end(): void {}
-  breakOff(): void {}
+  abort(): void {}
   refuse(refusal: Refusal): void {
     this.refusal = refusal;
   }
--- a/src/forwarding/call-forwarder.ts
+++ b/src/forwarding/call-forwarder.ts
@@ -231,7 +231,7 @@
         this.refuse(exchange, final.reason);
         break;
       case 'broken-off':
-        exchange.breakOff();
+        exchange.abort();
         break;
       case 'abandoned':
         break;
