--- a/src/forwarding/call-forwarder.ts
+++ b/src/forwarding/call-forwarder.ts
@@ -13,7 +13,7 @@
 import type { Placement } from './placement.js';
 import { ProgramAdmission } from './program-admission.js';
 import { describeProgram, describeReservation, describeSends } from './call-log.js';
-import { StallGuard } from './stall-guard.js';
+import { StallDetector } from './stall-guard.js';
 import { StreamRelay } from './stream-relay.js';
 import { RefusedError, type Reservation, TurnReservations } from './turn-reservations.js';
 
@@ -74,12 +74,12 @@
 
 export class CallForwarder {
   private readonly turns: TurnReservations;
-  private readonly stallGuard: StallGuard;
+  private readonly stallGuard: StallDetector;
   private readonly admission = new ProgramAdmission();
 
   constructor(private readonly options: CallForwarderOptions) {
     const { ledger, logger, metrics } = options;
-    this.stallGuard = new StallGuard({ logger });
+    this.stallGuard = new StallDetector({ logger });
     this.turns = new TurnReservations({
       ledger,
       logger,
--- a/src/forwarding/stall-guard.test.ts
+++ b/src/forwarding/stall-guard.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it, onTestFinished } from 'vitest';
 import { monotonicMs } from '../common/index.js';
 import { createLogger } from '../observability/index.js';
-import { StallGuard } from './stall-guard.js';
+import { StallDetector } from './stall-guard.js';
 
 const STALL_MS = 100;
 const logger = createLogger({});
@@ -11,7 +11,7 @@
   while (monotonicMs() < until);
 }
 
-async function timeToSettle(guard: StallGuard): Promise<number> {
+async function timeToSettle(guard: StallDetector): Promise<number> {
   const startedAt = monotonicMs();
   await guard.settle();
   return monotonicMs() - startedAt;
@@ -19,11 +19,11 @@
 
 describe('stall guard', () => {
   it('waits a moment after the process stood still, and only then', async () => {
-    const guard = new StallGuard({ logger, stallMs: STALL_MS });
+    const guard = new StallDetector({ logger, stallMs: STALL_MS });
     onTestFinished(() => guard.stop());
     standStill(STALL_MS * 3);
     expect(await timeToSettle(guard)).toBeGreaterThan(20);
-    const calm = new StallGuard({ logger, stallMs: 60_000 });
+    const calm = new StallDetector({ logger, stallMs: 60_000 });
     onTestFinished(() => calm.stop());
     standStill(STALL_MS);
     expect(await timeToSettle(calm)).toBeLessThan(20);
--- a/src/forwarding/stall-guard.ts
+++ b/src/forwarding/stall-guard.ts
@@ -17,7 +17,7 @@
 /** Time to see which callers have left, in milliseconds. */
 const SETTLE_MS = 30;
 
-export class StallGuard {
+export class StallDetector {
   private readonly stallMs: number;
   private readonly timer: NodeJS.Timeout;
   private beatAt = monotonicMs();
