--- a/src/forwarding/stall-guard.ts
+++ b/src/forwarding/stall-guard.ts
@@ -5,7 +5,7 @@
 import { monotonicMs, sleep } from '../common/index.js';
 import type { Logger } from '../observability/index.js';
 
-export interface StallGuardOptions {
+export interface StallDetectorOptions {
   logger: Logger;
   /** A pause of the process that is shorter is nothing special, in milliseconds. @default 1000 */
   stallMs?: number;
@@ -23,7 +23,7 @@
   private beatAt = monotonicMs();
   private stalledUntil = Number.NEGATIVE_INFINITY;
 
-  constructor(private readonly options: StallGuardOptions) {
+  constructor(private readonly options: StallDetectorOptions) {
     this.stallMs = options.stallMs ?? DEFAULT_STALL_MS;
     this.timer = setInterval(() => this.beat(), this.stallMs / 2);
     this.timer.unref();
