--- a/src/forwarding/call-forwarder.ts
+++ b/src/forwarding/call-forwarder.ts
@@ -13,7 +13,7 @@
 import type { Placement } from './placement.js';
 import { ProgramAdmission } from './program-admission.js';
 import { describeProgram, describeReservation, describeSends } from './call-log.js';
-import { StallDetector } from './stall-guard.js';
+import { StallDetector } from './stall-detector.js';
 import { StreamRelay } from './stream-relay.js';
 import { RefusedError, type Reservation, TurnReservations } from './turn-reservations.js';
 
--- a/src/forwarding/stall-guard.test.ts
+++ b/src/forwarding/stall-guard.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it, onTestFinished } from 'vitest';
 import { monotonicMs } from '../common/index.js';
 import { createLogger } from '../observability/index.js';
-import { StallDetector } from './stall-guard.js';
+import { StallDetector } from './stall-detector.js';
 
 const STALL_MS = 100;
 const logger = createLogger({});
