--- a/src/forwarding/call-forwarder.ts
+++ b/src/forwarding/call-forwarder.ts
@@ -92,7 +92,7 @@
   async handle(exchange: CallExchange): Promise<void> {
     let route: CompiledRoute | undefined;
     try {
-      await this.stallGuard.settle();
+      await this.stallGuard.waitAfterStall();
       if (!this.options.routes()) await this.options.waitForRoutes(FIRST_ROUTES_WAIT_MS);
       route = this.findRoute(exchange);
       if (exchange.isAbandoned) this.record({ exchange, route, ending: { kind: 'abandoned' } });
--- a/src/forwarding/stall-detector.test.ts
+++ b/src/forwarding/stall-detector.test.ts
@@ -13,7 +13,7 @@
 
 async function timeToSettle(guard: StallDetector): Promise<number> {
   const startedAt = monotonicMs();
-  await guard.settle();
+  await guard.waitAfterStall();
   return monotonicMs() - startedAt;
 }
 
--- a/src/forwarding/stall-detector.ts
+++ b/src/forwarding/stall-detector.ts
@@ -30,7 +30,7 @@
   }
 
   /** Resolves at once, or after a moment where the process has just stood still. */
-  async settle(): Promise<void> {
+  async waitAfterStall(): Promise<void> {
     this.beat();
     if (monotonicMs() - this.stalledUntil < AFTERMATH_MS) await sleep(SETTLE_MS);
   }
