--- a/src/forwarding/call-run.ts
+++ b/src/forwarding/call-run.ts
@@ -7,7 +7,7 @@
 import type { BackendState, BackendView } from './backend-view.js';
 import { BufferedResponse } from './buffered-answer.js';
 import type { CallExchange, RefusalReason } from './call-exchange.js';
-import type { Choice, Placement } from './placement.js';
+import type { PlacementDecision, Placement } from './placement.js';
 import { SendAttempt, type SendResult } from './send-attempt.js';
 import { StreamRelay } from './stream-relay.js';
 
@@ -71,7 +71,7 @@
   private readonly excluded = new Set<string>();
   /** Back ends that may have received the call. */
   private readonly sentTo = new Set<string>();
-  private stayWith: Choice | undefined;
+  private stayWith: PlacementDecision | undefined;
   private attempt: SendAttempt | undefined;
   /** How long calls of the service take, once the call was sent. */
   private model: LatencyModel | undefined;
@@ -140,7 +140,7 @@
     }
   }
 
-  private nextBackend(): Choice | undefined {
+  private nextBackend(): PlacementDecision | undefined {
     if (this.stayWith) return this.stayWith;
     if (this.sentTo.size >= this.options.route.route.maxAttempts) return undefined;
     const candidates = this.options.backends.serving(this.service);
@@ -151,7 +151,7 @@
     });
   }
 
-  private async sendTo({ backend, missingTokens }: Choice): Promise<SendResult> {
+  private async sendTo({ backend, missingTokens }: PlacementDecision): Promise<SendResult> {
     const connection = backend.connections.acquire();
     if (!connection) return { kind: 'not-sent', cause: 'no connection left' };
     const attempt = this.createAttempt(backend, connection);
--- a/src/forwarding/placement.ts
+++ b/src/forwarding/placement.ts
@@ -39,7 +39,7 @@
 }
 
 /** A back end for a call. */
-export interface Choice {
+export interface PlacementDecision {
   backend: BackendState;
   /** Prompt tokens that it most likely has to read. */
   missingTokens: number;
@@ -63,7 +63,7 @@
   choose(
     candidates: readonly BackendState[],
     { call, excluded, promptHolder }: PlacementRequest,
-  ): Choice | undefined {
+  ): PlacementDecision | undefined {
     const usable = candidates.filter(
       (candidate) => !excluded.has(candidate.id) && candidate.connections.hasRoom,
     );
