--- a/src/forwarding/backend-connections.ts
+++ b/src/forwarding/backend-connections.ts
@@ -23,7 +23,7 @@
 
   constructor(
     private readonly client: Client,
-    private readonly owner: BackendConnections,
+    private readonly owner: BackendConnectionPool,
   ) {
     client.on('disconnect', () => this.discard());
     client.on('connectionError', () => this.discard());
@@ -47,7 +47,7 @@
   }
 }
 
-export class BackendConnections {
+export class BackendConnectionPool {
   private readonly idle: BackendConnection[] = [];
   private readonly open = new Set<BackendConnection>();
 
--- a/src/forwarding/backend-view.ts
+++ b/src/forwarding/backend-view.ts
@@ -3,7 +3,7 @@
 import type { BackendLoad, BackendRecord } from '../directory/index.js';
 import { SlowdownEstimator, LatencyModel } from '../performance/index.js';
 import type { PromptPart } from './call-exchange.js';
-import { BackendConnections } from './backend-connections.js';
+import { BackendConnectionPool } from './backend-connections.js';
 import { PromptCacheView } from './prompt-cache-view.js';
 
 const FIRST_SUSPICION_MS = 500;
@@ -27,7 +27,7 @@
   inFlight = 0;
   /** Calls of the other gateways, as last told. */
   otherInFlight = 0;
-  readonly connections: BackendConnections;
+  readonly connections: BackendConnectionPool;
   /** How much longer than others it takes for the same work. */
   readonly pace = new SlowdownEstimator();
   private readonly cache: PromptCacheView;
@@ -43,7 +43,7 @@
     private readonly limits: BackendLimits,
   ) {
     const { service, address } = record;
-    this.connections = new BackendConnections(address, () => limits.connections(service));
+    this.connections = new BackendConnectionPool(address, () => limits.connections(service));
     this.cache = new PromptCacheView(() => limits.cacheTokens(service) / limits.gateways());
   }
 
--- a/src/forwarding/response-framing.test.ts
+++ b/src/forwarding/response-framing.test.ts
@@ -9,7 +9,7 @@
   write,
 } from '../../tests/support/raw-backend.js';
 import { type RawOutcome, type RawSend, ownLines, sendRaw } from '../../tests/support/raw-sends.js';
-import { BackendConnections } from './backend-connections.js';
+import { BackendConnectionPool } from './backend-connections.js';
 import type { SendResult } from './send-attempt.js';
 
 const OWN_ID = 'call-1';
@@ -18,13 +18,13 @@
 let backend: RawBackend | undefined;
 afterEach(() => backend?.stop());
 
-async function startBackend(...scripts: (readonly ScriptStep[])[]): Promise<BackendConnections> {
+async function startBackend(...scripts: (readonly ScriptStep[])[]): Promise<BackendConnectionPool> {
   backend = await RawBackend.start((_request, number) => scripts[number] ?? scripts.at(-1)!);
-  return new BackendConnections(backend.address, () => 1);
+  return new BackendConnectionPool(backend.address, () => 1);
 }
 
 function send(
-  connections: BackendConnections,
+  connections: BackendConnectionPool,
   options: Partial<RawSend> = {},
 ): Promise<RawOutcome> {
   return sendRaw(connections, { id: OWN_ID, ...options });
@@ -67,7 +67,7 @@
   it('gets all of it, however often it has to wait', async () => {
     const body = 'x'.repeat(400_000);
     backend = await RawBackend.start(() => [write(head() + body), close]);
-    const connections = new BackendConnections(backend.address, () => 1);
+    const connections = new BackendConnectionPool(backend.address, () => 1);
     const { result, body: received } = await send(connections, {
       mayGoOn(attempt) {
         setTimeout(() => attempt.resume(), 10);
--- a/src/forwarding/response-fuzz.test.ts
+++ b/src/forwarding/response-fuzz.test.ts
@@ -16,7 +16,7 @@
 import { ownLines, sendRaw } from '../../tests/support/raw-sends.js';
 import { waitUntil } from '../../tests/support/wait-until.js';
 import { SeededRandom } from '../common/index.js';
-import { BackendConnections } from './backend-connections.js';
+import { BackendConnectionPool } from './backend-connections.js';
 
 /** Seeds that failed once stand here, each with a line on the cause. */
 const FAILED_SEEDS: readonly number[] = [
@@ -113,7 +113,7 @@
     scripts.get(request.split(' ')[1]!.slice(1))!,
   );
   try {
-    const connections = new BackendConnections(backend.address, () => 2);
+    const connections = new BackendConnectionPool(backend.address, () => 2);
     for (const answer of answers) {
       const { result, body } = await sendRaw(connections, { id: answer.id });
       if (result.kind === 'complete') {
--- a/tests/support/raw-sends.ts
+++ b/tests/support/raw-sends.ts
@@ -1,5 +1,5 @@
 /** Sends single calls to a `RawBackend`, through the connections and the code that forwards calls. */
-import type { BackendConnections } from '../../src/forwarding/backend-connections.js';
+import type { BackendConnectionPool } from '../../src/forwarding/backend-connections.js';
 import type { BackendProtocol } from '../../src/forwarding/index.js';
 import { SendAttempt, type SendResult } from '../../src/forwarding/send-attempt.js';
 import { headerValues } from '../../src/http/index.js';
@@ -37,7 +37,7 @@
 }
 
 export async function sendRaw(
-  connections: BackendConnections,
+  connections: BackendConnectionPool,
   { id, method = 'GET', mayGoOn = () => true }: RawSend,
 ): Promise<RawOutcome> {
   let body = '';
