--- a/src/routes/route-table.ts
+++ b/src/routes/route-table.ts
@@ -1,13 +1,13 @@
 /** Finds the route of a call: the longest prefix of its host that begins the path. */
 import type { Route, RouteConfiguration, Service } from './route-configuration.js';
-import { WeightedChoice } from './weighted-choice.js';
+import { WeightedRoundRobin } from './weighted-choice.js';
 
 /** A route together with the running state of its weighted choice. */
 export class CompiledRoute {
-  private readonly choice: WeightedChoice;
+  private readonly choice: WeightedRoundRobin;
 
   constructor(readonly route: Route) {
-    this.choice = new WeightedChoice(route.parts.map((part) => part.weight));
+    this.choice = new WeightedRoundRobin(route.parts.map((part) => part.weight));
   }
 
   /** The service that the next call goes to; shares follow the weights exactly over time. */
--- a/src/routes/routes.test.ts
+++ b/src/routes/routes.test.ts
@@ -4,7 +4,7 @@
 import type { Route, RouteConfiguration, Tenant } from './route-configuration.js';
 import { RouteTable } from './route-table.js';
 import { validateRouteConfiguration } from './validate-configuration.js';
-import { WeightedChoice } from './weighted-choice.js';
+import { WeightedRoundRobin } from './weighted-choice.js';
 
 function route(overrides: Partial<Route> = {}): Route {
   return {
@@ -119,7 +119,7 @@
     [[1, 1, 2], 400],
     [[0, 5], 100],
   ])('follows the weights %j exactly', (weights, rounds) => {
-    const choice = new WeightedChoice(weights);
+    const choice = new WeightedRoundRobin(weights);
     const total = weights.reduce((sum, weight) => sum + weight, 0);
     const counts = weights.map(() => 0);
     for (let round = 0; round < rounds; round += 1) counts[choice.next()]! += 1;
--- a/src/routes/weighted-choice.ts
+++ b/src/routes/weighted-choice.ts
@@ -2,7 +2,7 @@
  * Smooth weighted round robin: each choice raises every candidate by its weight and takes the
  * highest, which then pays the sum of all weights.
  */
-export class WeightedChoice {
+export class WeightedRoundRobin {
   private readonly current: number[];
   private readonly total: number;
 
