--- a/src/routes/index.ts
+++ b/src/routes/index.ts
@@ -3,4 +3,4 @@
 export * from './route-configuration.js';
 export { CompiledRoute, RouteTable } from './route-table.js';
 export { validateRouteConfiguration } from './validate-configuration.js';
-export { WeightedRoundRobin } from './weighted-choice.js';
+export { WeightedRoundRobin } from './weighted-round-robin.js';
--- a/src/routes/route-table.ts
+++ b/src/routes/route-table.ts
@@ -1,6 +1,6 @@
 /** Finds the route of a call: the longest prefix of its host that begins the path. */
 import type { Route, RouteConfiguration, Service } from './route-configuration.js';
-import { WeightedRoundRobin } from './weighted-choice.js';
+import { WeightedRoundRobin } from './weighted-round-robin.js';
 
 /** A route together with the running state of its weighted choice. */
 export class CompiledRoute {
--- a/src/routes/routes.test.ts
+++ b/src/routes/routes.test.ts
@@ -4,7 +4,7 @@
 import type { Route, RouteConfiguration, Tenant } from './route-configuration.js';
 import { RouteTable } from './route-table.js';
 import { validateRouteConfiguration } from './validate-configuration.js';
-import { WeightedRoundRobin } from './weighted-choice.js';
+import { WeightedRoundRobin } from './weighted-round-robin.js';
 
 function route(overrides: Partial<Route> = {}): Route {
   return {
