--- a/src/nodes/gateway-node.ts
+++ b/src/nodes/gateway-node.ts
@@ -19,7 +19,7 @@
 import { GatewayQuotas } from '../quotas/index.js';
 import { type Logger, addGauge } from '../observability/index.js';
 import { type EngineProperties, type RequestLimits, RouteTable } from '../routes/index.js';
-import { type KeyKnowledge, TenantTable, decideAccess, keyLeaseMs } from '../tenants/index.js';
+import { type TenantSnapshot, TenantTable, decideAccess, keyLeaseMs } from '../tenants/index.js';
 import { MethodRouter } from '../wire/index.js';
 import type { NodeSettings } from './node-settings.js';
 
@@ -135,7 +135,7 @@
     return !tenants.areKeysNeeded || ageMs < leaseMs;
   }
 
-  private get keyKnowledge(): KeyKnowledge {
+  private get keyKnowledge(): TenantSnapshot {
     const { tenants, keyLeaseMs: leaseMs } = this;
     return { tenants, ageMs: this.watcher.confirmedAgeMs, leaseMs };
   }
--- a/src/tenants/access.ts
+++ b/src/tenants/access.ts
@@ -8,7 +8,7 @@
 import type { TenantTable } from './tenant-table.js';
 
 /** What a gateway knows of keys, and how old that is. */
-export interface KeyKnowledge {
+export interface TenantSnapshot {
   tenants: TenantTable;
   /** Time since a majority of the directory stood behind what is known, in milliseconds. */
   ageMs: number;
@@ -49,7 +49,7 @@
 export function decideAccess(
   route: Pick<Route, 'isAnonymous'>,
   key: string | undefined,
-  { tenants, ageMs, leaseMs }: KeyKnowledge,
+  { tenants, ageMs, leaseMs }: TenantSnapshot,
 ): AccessDecision {
   if (!tenants.areKeysNeeded) return WITHOUT_TENANT;
   const tenant = key === undefined ? undefined : tenants.findByKey(key);
