--- a/src/tenants/access.test.ts
+++ b/src/tenants/access.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { sha256Hex } from '../common/index.js';
-import { KEY_NEWS_AGE_MS, decideAccess, keyLeaseMs } from './access.js';
+import { FRESH_KEYS_MAX_AGE_MS, decideAccess, keyLeaseMs } from './access.js';
 import { scopedId } from './scoped-id.js';
 import { TenantTable } from './tenant-table.js';
 
@@ -27,7 +27,7 @@
     ['known, as the lease ends', keyed, 'k1', LEASE_MS, 'uncertain'],
     ['known, before any leader answered', keyed, 'k1', Infinity, 'uncertain'],
     ['unknown, with fresh knowledge', keyed, 'k2', 0, 'unknown-key'],
-    ['unknown, where it may be new', keyed, 'k2', KEY_NEWS_AGE_MS + 1, 'uncertain'],
+    ['unknown, where it may be new', keyed, 'k2', FRESH_KEYS_MAX_AGE_MS + 1, 'uncertain'],
     ['none', keyed, undefined, 0, 'unknown-key'],
     ['none, where the route may be open to all by now', keyed, undefined, 9_000, 'uncertain'],
     ['empty', keyed, '', 0, 'unknown-key'],
--- a/src/tenants/access.ts
+++ b/src/tenants/access.ts
@@ -27,7 +27,7 @@
  * A key that is not known may be one that was added lately if knowledge is older than this, in milliseconds.
  * Several times what news take: a gateway in touch asks each 0.2 s.
  */
-export const KEY_NEWS_AGE_MS = 1_500;
+export const FRESH_KEYS_MAX_AGE_MS = 1_500;
 
 /**
  * Share of the bound of revocation for which keys are trusted. Less than all of it, though the sum is safe without a
@@ -55,5 +55,5 @@
   const tenant = key === undefined ? undefined : tenants.findByKey(key);
   if (tenant) return ageMs < leaseMs ? { kind: 'allowed', tenant } : UNCERTAIN;
   if (route.isAnonymous) return WITHOUT_TENANT;
-  return ageMs > Math.min(KEY_NEWS_AGE_MS, leaseMs) ? UNCERTAIN : UNKNOWN_KEY;
+  return ageMs > Math.min(FRESH_KEYS_MAX_AGE_MS, leaseMs) ? UNCERTAIN : UNKNOWN_KEY;
 }
