--- a/src/tenants/access.ts
+++ b/src/tenants/access.ts
@@ -34,11 +34,11 @@
  * margin: a call that is sent later than the bound finds every lease over that began before the revocation. More
  * than the 0.6 up to which calls are owed at a gateway out of touch, by more than a renewal each 0.3 s.
  */
-export const KEY_LEASE_SHARE = 0.9;
+export const KEY_LEASE_FRACTION = 0.9;
 
 /** @param revocationBoundMs absent where nothing bounds how long a revoked key may go on */
 export function keyLeaseMs(revocationBoundMs: number | undefined): number {
-  return revocationBoundMs === undefined ? Infinity : revocationBoundMs * KEY_LEASE_SHARE;
+  return revocationBoundMs === undefined ? Infinity : revocationBoundMs * KEY_LEASE_FRACTION;
 }
 
 const WITHOUT_TENANT: AccessDecision = { kind: 'allowed', tenant: undefined };
