--- a/src/forwarding/call-forwarder.ts
+++ b/src/forwarding/call-forwarder.ts
@@ -225,7 +225,7 @@
   private finish(exchange: CallExchange, run: CallRun, final: CallOutcome): void {
     switch (final.kind) {
       case 'answered':
-        run.answer.end();
+        run.response.end();
         break;
       case 'refused':
         this.refuse(exchange, final.reason);
@@ -269,13 +269,13 @@
       route: route?.route.name,
       tenant: tenant?.name,
       outcome,
-      status: run?.answer.status,
+      status: run?.response.status,
       ms: Math.round(tookMs),
       firstMs: firstEventMs && Math.round(firstEventMs),
       ...describeReservation(exchange, reservation, keepMs),
       most: exchange.description.mostTokens || undefined,
       previousTurn: exchange.description.previousTurn,
-      events: run?.answer instanceof StreamRelay ? run.answer.events : undefined,
+      events: run?.response instanceof StreamRelay ? run.response.events : undefined,
       sends: run && describeSends(run),
       ...describeProgram(exchange.description.program),
       ...details,
@@ -310,8 +310,8 @@
 }
 
 function firstEventOf(exchange: CallExchange, run: CallRun | undefined): number | undefined {
-  if (!(run?.answer instanceof StreamRelay)) return undefined;
-  const { firstEventAt } = run.answer;
+  if (!(run?.response instanceof StreamRelay)) return undefined;
+  const { firstEventAt } = run.response;
   return firstEventAt === undefined ? undefined : firstEventAt - exchange.arrivedAt;
 }
 
--- a/src/forwarding/call-run.ts
+++ b/src/forwarding/call-run.ts
@@ -66,7 +66,7 @@
 
 export class CallRun {
   readonly sends: SendRecord[] = [];
-  readonly answer: StreamRelay | BufferedResponse;
+  readonly response: StreamRelay | BufferedResponse;
   private readonly service: string;
   private readonly excluded = new Set<string>();
   /** Back ends that may have received the call. */
@@ -85,7 +85,7 @@
     const { exchange, route } = options;
     this.service = options.service;
     const { kind, retainsTurns: collectsOutput, isResumable } = route.route;
-    this.answer =
+    this.response =
       kind === 'streaming'
         ? new StreamRelay({ exchange, collectsOutput, isResumable })
         : new BufferedResponse(exchange);
@@ -109,7 +109,7 @@
   /** What the call would take on back ends with nothing else to do, in milliseconds, once it was sent. */
   get calmMs(): number | undefined {
     const { promptParts } = this.options.exchange.description;
-    const events = this.answer instanceof StreamRelay ? this.answer.events : 0;
+    const events = this.response instanceof StreamRelay ? this.response.events : 0;
     return this.model?.predictUnloadedMs({
       missingTokens: promptParts.at(-1)?.tokens ?? 0,
       events,
@@ -188,11 +188,11 @@
     const request = protocol.encodeRequest(description, {
       backendName: backend.record.name,
       timeLeftMs: Math.max(1, Math.floor(this.options.deadlineMs - monotonicMs())),
-      lastEventId: this.answer instanceof StreamRelay ? this.answer.lastEventId : undefined,
+      lastEventId: this.response instanceof StreamRelay ? this.response.lastEventId : undefined,
       tenant: this.options.tenant,
     });
     const callId = description.id;
-    const sink = this.answer;
+    const sink = this.response;
     const onHeard = (): void => backend.noteHeard();
     const attempt = new SendAttempt({ protocol, connection, request, body, callId, sink, onHeard });
     sink.onceReadable(() => attempt.resume());
@@ -210,7 +210,7 @@
   ): number | undefined {
     const isTypical = result.kind === 'complete' && !this.isErrorAnswer;
     if (!isTypical || this.sends.length > 0) return undefined;
-    const events = this.answer instanceof StreamRelay ? this.answer.events : 0;
+    const events = this.response instanceof StreamRelay ? this.response.events : 0;
     const work: CallWork = { missingTokens, load, events };
     const expectedMs = backend.model.predictMs(work);
     backend.model.observe(work, tookMs / backend.pace.factor, backend.places);
@@ -256,13 +256,13 @@
     this.noteSent(backend);
     if (this.isErrorAnswer) backend.noteErrorResponse();
     else backend.noteSuccess();
-    const isCut = this.answer instanceof StreamRelay && this.answer.hasPartialEvent;
+    const isCut = this.response instanceof StreamRelay && this.response.hasPartialEvent;
     return isCut ? this.judgeBroken(backend) : { kind: 'answered' };
   }
 
   /** Whether the back end's answer is a failure of its own, which tells nothing of how long calls take. */
   private get isErrorAnswer(): boolean {
-    return (this.answer.status ?? 0) >= HTTP_SERVER_ERROR;
+    return (this.response.status ?? 0) >= HTTP_SERVER_ERROR;
   }
 
   /** After a broken answer the call goes on only where running it again is allowed. */
@@ -270,7 +270,7 @@
     const { kind, maxAttempts } = this.options.route.route;
     if (!this.mayRepeat || this.resends >= MAX_RESENDS) return this.endingOfBroken();
     this.resends += 1;
-    this.answer.restart();
+    this.response.restart();
     // Resending to one that leaves would break what it was told when its leaving was acknowledged.
     const isLeaving = !this.options.backends.serving(this.service).includes(backend);
     const mayChange = (kind === 'repeatable' || isLeaving) && this.sentTo.size < maxAttempts;
@@ -281,8 +281,8 @@
   }
 
   private get mayRepeat(): boolean {
-    if (this.answer instanceof StreamRelay) return this.answer.mayGoOn;
-    return this.options.route.route.kind === 'repeatable' && !this.answer.hasBegun;
+    if (this.response instanceof StreamRelay) return this.response.mayGoOn;
+    return this.options.route.route.kind === 'repeatable' && !this.response.hasBegun;
   }
 
   private hasOther(backend: BackendState): boolean {
@@ -292,7 +292,7 @@
   }
 
   private endingOfBroken(): CallOutcome {
-    if (this.answer.hasBegun) return { kind: 'broken-off' };
+    if (this.response.hasBegun) return { kind: 'broken-off' };
     return { kind: 'refused', reason: 'outcome-unknown' };
   }
 
@@ -306,7 +306,7 @@
   private endingOfStop(): CallOutcome | undefined {
     if (this.options.exchange.isAbandoned) return { kind: 'abandoned' };
     if (!this.isOverdue) return undefined;
-    if (this.answer.hasBegun) return { kind: 'broken-off' };
+    if (this.response.hasBegun) return { kind: 'broken-off' };
     return {
       kind: 'refused',
       reason: this.mayHaveRun ? 'time-limit' : 'time-limit-before-start',
--- a/src/forwarding/turn-reservations.test.ts
+++ b/src/forwarding/turn-reservations.test.ts
@@ -99,10 +99,10 @@
       deadlineMs,
       typicalMs: TYPICAL_TURN_MS,
     });
-    const answer = { events: EVENTS, isStream: true, collectedOutput: Buffer.from(`${id} out;`) };
+    const response = { events: EVENTS, isStream: true, collectedOutput: Buffer.from(`${id} out;`) };
     const settled = this.reservations.settle({
       exchange,
-      run: { answer, serviceName: 's', answeredBy: 'e1' } as unknown as CallRun,
+      run: { response, serviceName: 's', answeredBy: 'e1' } as unknown as CallRun,
       ending: { kind: 'answered' },
       route: { route: ROUTE } as CompiledRoute,
       reservation: reservation!,
--- a/src/forwarding/turn-reservations.ts
+++ b/src/forwarding/turn-reservations.ts
@@ -143,7 +143,7 @@
     const { run, ending, route, reservation } = turn;
     const { ledger } = this.options;
     const { program, attempt, allowanceTaken } = reservation;
-    const relay = run.answer as StreamRelay;
+    const relay = run.response as StreamRelay;
     const spentTokens = relay.events * this.options.tokensPerEvent(run.serviceName);
     let settlement: Settlement = { program, attempt, spentTokens, placement: placementOf(turn) };
     if (allowanceTaken !== undefined) {
