--- a/src/forwarding/call-forwarder.ts
+++ b/src/forwarding/call-forwarder.ts
@@ -212,12 +212,12 @@
     run: CallRun,
     ending: CallOutcome,
   ): void {
-    if (call.promptParts.length === 0 || run.calmMs === undefined) return;
-    const { serviceName: service, calmMs } = run;
+    if (call.promptParts.length === 0 || run.unloadedMs === undefined) return;
+    const { serviceName: service, unloadedMs } = run;
     const ranOutOfTime = ending.kind === 'abandoned' || isTimeLimit(ending);
     const tookMs = monotonicMs() - arrivedAt;
     const engines = this.options.backends.serving(service);
-    const turn = { service, call, ranOutOfTime, tookMs, calmMs };
+    const turn = { service, call, ranOutOfTime, tookMs, unloadedMs };
     this.admission.noteEnd(turn, engines, this.options.backends.gateways);
   }
 
--- a/src/forwarding/call-run.ts
+++ b/src/forwarding/call-run.ts
@@ -107,7 +107,7 @@
   }
 
   /** What the call would take on back ends with nothing else to do, in milliseconds, once it was sent. */
-  get calmMs(): number | undefined {
+  get unloadedMs(): number | undefined {
     const { promptParts } = this.options.exchange.description;
     const events = this.response instanceof StreamRelay ? this.response.events : 0;
     return this.model?.predictUnloadedMs({
--- a/src/forwarding/program-admission.test.ts
+++ b/src/forwarding/program-admission.test.ts
@@ -127,7 +127,7 @@
   private end({ program, sentAt }: Turn, ranOutOfTime: boolean): void {
     const tookMs = this.now - sentAt;
     const call = callOf(program, this.now);
-    const turn = { service: SERVICE, call, ranOutOfTime, tookMs, calmMs: IDLE_MS / TURNS };
+    const turn = { service: SERVICE, call, ranOutOfTime, tookMs, unloadedMs: IDLE_MS / TURNS };
     this.admission.noteEnd(turn, this.occupancy, 1);
     if (ranOutOfTime) {
       if (program.sends < MOST_SENDS) this.send(program);
--- a/src/forwarding/program-admission.ts
+++ b/src/forwarding/program-admission.ts
@@ -45,7 +45,7 @@
   ranOutOfTime: boolean;
   tookMs: number;
   /** What it would have taken on engines with nothing else to do, in milliseconds. */
-  calmMs: number;
+  unloadedMs: number;
 }
 
 interface ServiceLimit {
@@ -127,9 +127,9 @@
 }
 
 /** How far a turn is from the tolerable time, as a share of it: -1 where it took none, 1 where it took twice that. */
-function excessOf({ call, ranOutOfTime, tookMs, calmMs }: EndedTurn): number {
+function excessOf({ call, ranOutOfTime, tookMs, unloadedMs }: EndedTurn): number {
   if (ranOutOfTime) return 1;
-  const excess = Math.min(1, tookMs / (calmMs * TOLERABLE_STRETCH) - 1);
+  const excess = Math.min(1, tookMs / (unloadedMs * TOLERABLE_STRETCH) - 1);
   const isLate = call.program?.remainingMs === 0;
   return isLate ? Math.max(0, excess) : excess;
 }
