--- a/src/forwarding/backend-view.ts
+++ b/src/forwarding/backend-view.ts
@@ -29,7 +29,7 @@
   otherInFlight = 0;
   readonly connections: BackendConnectionPool;
   /** How much longer than others it takes for the same work. */
-  readonly pace = new SlowdownEstimator();
+  readonly slowdown = new SlowdownEstimator();
   private readonly cache: PromptCacheView;
   private suspectUntil = 0;
   private failures = 0;
--- a/src/forwarding/call-run.ts
+++ b/src/forwarding/call-run.ts
@@ -213,8 +213,8 @@
     const events = this.response instanceof StreamRelay ? this.response.events : 0;
     const work: CallWork = { missingTokens, load, events };
     const expectedMs = backend.model.predictMs(work);
-    backend.model.observe(work, tookMs / backend.pace.factor, backend.places);
-    backend.pace.note(tookMs, expectedMs);
+    backend.model.observe(work, tookMs / backend.slowdown.factor, backend.places);
+    backend.slowdown.note(tookMs, expectedMs);
     return expectedMs;
   }
 
--- a/src/forwarding/placement.ts
+++ b/src/forwarding/placement.ts
@@ -104,9 +104,9 @@
 }
 
 /** Time of the call itself, and what it holds up. */
-function workMsAt({ load, model, pace }: BackendState, missingTokens: number): number {
+function workMsAt({ load, model, slowdown }: BackendState, missingTokens: number): number {
   const ordinaryMs = model.predictMs({ missingTokens, load, events: model.typicalEvents });
-  const ownMs = ordinaryMs * pace.factor;
+  const ownMs = ordinaryMs * slowdown.factor;
   const readingMs = model.msPerToken * missingTokens;
   return ownMs + load * readingMs * READING_STALL_SHARE;
 }
