--- a/src/forwarding/backend-view.ts
+++ b/src/forwarding/backend-view.ts
@@ -64,11 +64,11 @@
   }
 
   get isSuspect(): boolean {
-    return this.record.isSilent || monotonicMs() < this.suspectUntil || this.isMute;
+    return this.record.isSilent || monotonicMs() < this.suspectUntil || this.isUnresponsive;
   }
 
   /** Whether answers are due here and not a byte has come for a while. */
-  get isMute(): boolean {
+  get isUnresponsive(): boolean {
     return this.inFlight > 0 && monotonicMs() - this.heardAt > MUTE_AFTER_MS;
   }
 
