--- a/src/forwarding/backend-view.ts
+++ b/src/forwarding/backend-view.ts
@@ -86,7 +86,7 @@
   }
 
   /** Bytes of an answer came in. */
-  noteHeard(): void {
+  noteDataReceived(): void {
     this.heardAt = monotonicMs();
   }
 
--- a/src/forwarding/call-run.ts
+++ b/src/forwarding/call-run.ts
@@ -193,7 +193,7 @@
     });
     const callId = description.id;
     const sink = this.response;
-    const onHeard = (): void => backend.noteHeard();
+    const onHeard = (): void => backend.noteDataReceived();
     const attempt = new SendAttempt({ protocol, connection, request, body, callId, sink, onHeard });
     sink.onceReadable(() => attempt.resume());
     return attempt;
--- a/src/forwarding/error-responses.test.ts
+++ b/src/forwarding/error-responses.test.ts
@@ -85,7 +85,7 @@
 }
 
 function end(backend: BackendState, notesErrors: boolean): void {
-  backend.noteHeard();
+  backend.noteDataReceived();
   backend.endCall();
   if (fails(backend) && notesErrors) backend.noteErrorResponse();
   else backend.noteSuccess();
--- a/src/forwarding/placement.test.ts
+++ b/src/forwarding/placement.test.ts
@@ -183,7 +183,7 @@
     mute!.beginCall([]);
     busy!.beginCall([]);
     await sleep(800);
-    busy!.noteHeard();
+    busy!.noteDataReceived();
     expect(choose(call, mute!.id).id).not.toBe(mute!.id);
     expect(choose(call, busy!.id).id).toBe(busy!.id);
     mute!.endCall();
