--- a/src/forwarding/backend-view.ts
+++ b/src/forwarding/backend-view.ts
@@ -111,7 +111,7 @@
   }
 
   /** @param time on the monotonic clock, in milliseconds */
-  wasHeardSince(time: number): boolean {
+  hasSentDataSince(time: number): boolean {
     return this.heardAt > time;
   }
 
--- a/src/forwarding/call-run.ts
+++ b/src/forwarding/call-run.ts
@@ -247,7 +247,7 @@
       case 'broken':
         this.noteSent(backend);
         // One lost answer says little of a back end that answers others.
-        if (!result.hadHead && !backend.wasHeardSince(this.sentAt)) backend.noteFailure();
+        if (!result.hadHead && !backend.hasSentDataSince(this.sentAt)) backend.noteFailure();
         return this.judgeBroken(backend);
     }
   }
