--- a/src/forwarding/call-run.ts
+++ b/src/forwarding/call-run.ts
@@ -193,8 +193,16 @@
     });
     const callId = description.id;
     const sink = this.response;
-    const onHeard = (): void => backend.noteDataReceived();
-    const attempt = new SendAttempt({ protocol, connection, request, body, callId, sink, onHeard });
+    const onDataReceived = (): void => backend.noteDataReceived();
+    const attempt = new SendAttempt({
+      protocol,
+      connection,
+      request,
+      body,
+      callId,
+      sink,
+      onDataReceived,
+    });
     sink.onceReadable(() => attempt.resume());
     return attempt;
   }
--- a/src/forwarding/send-attempt.ts
+++ b/src/forwarding/send-attempt.ts
@@ -38,7 +38,7 @@
   callId: string | undefined;
   sink: ResponseSink;
   /** Called when bytes of the answer come in. */
-  onHeard: () => void;
+  onDataReceived: () => void;
 }
 
 export class SendAttempt implements Dispatcher.DispatchHandler {
@@ -105,7 +105,7 @@
   ): void {
     if (statusCode < 200) return;
     this.headAt = performance.now();
-    this.options.onHeard();
+    this.options.onDataReceived();
     const rawHeaders = textOf(controller.rawHeaders);
     const verdict = this.options.protocol.readHead(statusCode, rawHeaders);
     this.verdict = verdict;
@@ -133,7 +133,7 @@
     // The parser repeats its last callback without bytes when it is resumed; pausing it again then
     // would leave it paused at the end of the stream, which it does not bear.
     if (chunk.length === 0) return;
-    this.options.onHeard();
+    this.options.onDataReceived();
     if (this.stopReason) return;
     if (!this.options.sink.onData(chunk)) controller.pause();
     this.heedObjection();
--- a/tests/support/raw-sends.ts
+++ b/tests/support/raw-sends.ts
@@ -54,7 +54,7 @@
         return mayGoOn(attempt);
       },
     },
-    onHeard: () => undefined,
+    onDataReceived: () => undefined,
   });
   return { result: await attempt.run(), body };
 }
