--- a/src/forwarding/call-run.ts
+++ b/src/forwarding/call-run.ts
@@ -232,7 +232,7 @@
     if (kind !== 'repeatable' || this.resends >= MAX_RESENDS) return undefined;
     const leftMs = this.options.deadlineMs - monotonicMs();
     const silenceMs = Math.min(objectiveMs * SILENT_OBJECTIVES, leftMs * SILENT_TIME_SHARE);
-    return setTimeout(() => attempt.giveUpSilent(), silenceMs);
+    return setTimeout(() => attempt.abortUnlessStarted(), silenceMs);
   }
 
   /** @returns the ending, or nothing when the call is to be sent once more */
--- a/src/forwarding/send-attempt.ts
+++ b/src/forwarding/send-attempt.ts
@@ -82,7 +82,7 @@
   }
 
   /** Gives the answer up unless its head has come; the call may have run. */
-  giveUpSilent(): void {
+  abortUnlessStarted(): void {
     if (this.headAt !== undefined) return;
     this.giveUp('silent for too long');
   }
