--- a/src/forwarding/call-run.ts
+++ b/src/forwarding/call-run.ts
@@ -289,7 +289,7 @@
   }
 
   private get mayRepeat(): boolean {
-    if (this.response instanceof StreamRelay) return this.response.mayGoOn;
+    if (this.response instanceof StreamRelay) return this.response.canResume;
     return this.options.route.route.kind === 'repeatable' && !this.response.hasBegun;
   }
 
--- a/src/forwarding/stream-relay.ts
+++ b/src/forwarding/stream-relay.ts
@@ -47,7 +47,7 @@
   }
 
   /** Whether another run may go on where the last one broke. */
-  get mayGoOn(): boolean {
+  get canResume(): boolean {
     if (!this.sequence) return false;
     return !this.hasBegun || (this.isStream && this.sequence.mayGoOn);
   }
