--- a/src/forwarding/event-sequence.test.ts
+++ b/src/forwarding/event-sequence.test.ts
@@ -64,7 +64,7 @@
   const mayGoOnAfter = (ids: (string | undefined)[]): boolean => {
     const sequence = new EventSequence(undefined);
     for (const id of ids) expect(sequence.take(id)).toBe(true);
-    return sequence.mayGoOn;
+    return sequence.canResume;
   };
 
   it('may be taken up where ids are whole numbers that rise', () => {
@@ -86,6 +86,6 @@
     sequence.take('1');
     sequence.beginRun();
     expect(sequence.take(undefined)).toBe(false);
-    expect(sequence.mayGoOn).toBe(true);
+    expect(sequence.canResume).toBe(true);
   });
 });
--- a/src/forwarding/event-sequence.ts
+++ b/src/forwarding/event-sequence.ts
@@ -26,7 +26,7 @@
   }
 
   /** Whether a run may take the stream up: its last id tells which events were passed on. */
-  get mayGoOn(): boolean {
+  get canResume(): boolean {
     return this.isComparable;
   }
 
--- a/src/forwarding/stream-relay.ts
+++ b/src/forwarding/stream-relay.ts
@@ -49,7 +49,7 @@
   /** Whether another run may go on where the last one broke. */
   get canResume(): boolean {
     if (!this.sequence) return false;
-    return !this.hasBegun || (this.isStream && this.sequence.mayGoOn);
+    return !this.hasBegun || (this.isStream && this.sequence.canResume);
   }
 
   /** Whether the caller has received a part of the answer. */
