--- a/src/nodes/control-node.ts
+++ b/src/nodes/control-node.ts
@@ -141,7 +141,7 @@
     tolerance: settings.quotaTolerance ?? NO_TOLERANCE,
     limits: () => tenantsOf(directory),
     limitsVersion: () => stateMachine.configurationIndex,
-    sharesOut: () => stateMachine.quotaShares,
+    outstandingShares: () => stateMachine.quotaShares,
     commitShares: (out: { gateways: string[]; tenants: string[] }) =>
       directory.commitQuotaShares(out),
   };
--- a/src/quotas/quota-leader.test.ts
+++ b/src/quotas/quota-leader.test.ts
@@ -32,7 +32,7 @@
     tolerance: { over: 0, slack: 0, windowMs: 5_000 },
     limits: () => [LIMIT],
     limitsVersion: () => 1,
-    sharesOut: () => committed,
+    outstandingShares: () => committed,
     commitShares: async ({ gateways, tenants }: { gateways: string[]; tenants: string[] }) => {
       await sleep(COMMIT_MS);
       commits += 1;
--- a/src/quotas/quota-leader.ts
+++ b/src/quotas/quota-leader.ts
@@ -28,7 +28,7 @@
   limits: () => readonly NamedLimit[];
   limitsVersion: () => number;
   /** What may be out, as the group has committed it. */
-  sharesOut: () => CommittedShares;
+  outstandingShares: () => CommittedShares;
   commitShares: (out: { gateways: string[]; tenants: string[] }) => Promise<void>;
 }
 
@@ -50,7 +50,7 @@
       tolerance: options.tolerance,
       leaseMs: SHARE_LEASE_MS,
       overlapMs: LEADER_OVERLAP_MS,
-      mayShare: (tenant) => options.sharesOut().tenants.has(tenant),
+      mayShare: (tenant) => options.outstandingShares().tenants.has(tenant),
     });
   }
 
@@ -63,7 +63,7 @@
   private async answer(group: ReplicatedGroup, request: SharesRequest): Promise<SharesResponse> {
     this.refresh(group);
     const { gateway } = request;
-    while (!this.options.sharesOut().gateways.has(gateway)) {
+    while (!this.options.outstandingShares().gateways.has(gateway)) {
       this.newGateways.add(gateway);
       await this.commit();
     }
@@ -81,7 +81,7 @@
       this.knownTerm = group.term;
       this.knownVersion = -1;
       this.committedAt.clear();
-      this.board.begin(this.options.sharesOut(), now);
+      this.board.begin(this.options.outstandingShares(), now);
     }
     const version = this.options.limitsVersion();
     if (version === this.knownVersion) return;
@@ -125,13 +125,13 @@
   /** Those that are committed, without those whose leases are over. */
   private gatewaysInUse(): string[] {
     const heard = new Set(this.board.holders(monotonicMs()));
-    const { gateways } = this.options.sharesOut();
+    const { gateways } = this.options.outstandingShares();
     return [...gateways].filter((name) => heard.has(name) || this.isNew(name));
   }
 
   /** Those that are committed, without those of whose limits nobody holds a rate. */
   private tenantsInUse(): string[] {
-    const { tenants } = this.options.sharesOut();
+    const { tenants } = this.options.outstandingShares();
     return [...tenants].filter((name) => this.board.isShared(name) || this.isNew(name));
   }
 
