--- a/src/nodes/gateway-node.ts
+++ b/src/nodes/gateway-node.ts
@@ -132,7 +132,7 @@
   /** Whether callers with keys can be served. */
   private get areKeysCertain(): boolean {
     const { tenants, ageMs, leaseMs } = this.keyKnowledge;
-    return !tenants.areKeysNeeded || ageMs < leaseMs;
+    return !tenants.requiresKeys || ageMs < leaseMs;
   }
 
   private get keyKnowledge(): TenantSnapshot {
--- a/src/tenants/access.ts
+++ b/src/tenants/access.ts
@@ -51,7 +51,7 @@
   key: string | undefined,
   { tenants, ageMs, leaseMs }: TenantSnapshot,
 ): AccessDecision {
-  if (!tenants.areKeysNeeded) return WITHOUT_TENANT;
+  if (!tenants.requiresKeys) return WITHOUT_TENANT;
   const tenant = key === undefined ? undefined : tenants.findByKey(key);
   if (tenant) return ageMs < leaseMs ? { kind: 'allowed', tenant } : UNCERTAIN;
   if (route.isAnonymous) return WITHOUT_TENANT;
--- a/src/tenants/tenant-table.ts
+++ b/src/tenants/tenant-table.ts
@@ -13,7 +13,7 @@
   }
 
   /** Whether calls need a key, but on routes for everybody. */
-  get areKeysNeeded(): boolean {
+  get requiresKeys(): boolean {
     return this.tenants !== undefined;
   }
 
