--- a/src/forwarding/response-framing.test.ts
+++ b/src/forwarding/response-framing.test.ts
@@ -40,7 +40,7 @@
   it('is whole after an orderly close', async () => {
     const connections = await startBackend([write(`${beginning}the second`), close]);
     const { result, body } = await send(connections);
-    expect(result).toMatchObject({ kind: 'complete', endedBy: 'close' });
+    expect(result).toMatchObject({ kind: 'complete', framing: 'close' });
     expect(body).toBe('the first half, the second');
   });
 
@@ -74,7 +74,7 @@
         return false;
       },
     });
-    expect(result).toMatchObject({ kind: 'complete', endedBy: 'close' });
+    expect(result).toMatchObject({ kind: 'complete', framing: 'close' });
     expect(received).toBe(body);
   });
 });
@@ -87,8 +87,8 @@
   method?: string;
 }
 
-const whole = (endedBy: string): Partial<SendResult> =>
-  ({ kind: 'complete', endedBy }) as Partial<SendResult>;
+const whole = (framing: string): Partial<SendResult> =>
+  ({ kind: 'complete', framing }) as Partial<SendResult>;
 const broken: Partial<SendResult> = { kind: 'broken' };
 const fiveBytes = head('Content-Length: 5');
 const chunked = head('Transfer-Encoding: chunked');
--- a/src/forwarding/send-attempt.ts
+++ b/src/forwarding/send-attempt.ts
@@ -11,7 +11,7 @@
 
 export type SendResult =
   /** A whole answer was received. */
-  | { kind: 'complete'; endedBy: ResponseFraming }
+  | { kind: 'complete'; framing: ResponseFraming }
   /** No byte of the call reached the back end. */
   | { kind: 'not-sent'; cause: string }
   /** The back end states that it did not run the call. */
@@ -51,7 +51,7 @@
   private verdict: ParsedResponseHead | undefined;
   private brokenCause = '';
   private isLastOnConnection = false;
-  private endedBy: ResponseFraming = 'close';
+  private framing: ResponseFraming = 'close';
   private controller: Dispatcher.DispatchController | undefined;
   private finish!: (result: SendResult) => void;
 
@@ -109,8 +109,8 @@
     const rawHeaders = textOf(controller.rawHeaders);
     const verdict = this.options.protocol.readHead(statusCode, rawHeaders);
     this.verdict = verdict;
-    this.endedBy = responseFraming(this.options.request.method, statusCode, rawHeaders);
-    this.isLastOnConnection = announcesClose(rawHeaders) || this.endedBy === 'close';
+    this.framing = responseFraming(this.options.request.method, statusCode, rawHeaders);
+    this.isLastOnConnection = announcesClose(rawHeaders) || this.framing === 'close';
     if (verdict.callId !== undefined && verdict.callId !== this.options.callId) {
       this.giveUp('the answer belongs to another call');
       return;
@@ -143,7 +143,7 @@
     if (this.isLastOnConnection) this.options.connection.discard();
     else this.options.connection.release();
     if (this.stopReason !== undefined) this.finish(this.resultOfStop(''));
-    else this.finish({ kind: 'complete', endedBy: this.endedBy });
+    else this.finish({ kind: 'complete', framing: this.framing });
   }
 
   onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
