--- a/src/forwarding/backend-view.ts
+++ b/src/forwarding/backend-view.ts
@@ -48,7 +48,7 @@
   }
 
   /** Typical calls that fit at once: by slots, and by the memory that their prompts take. */
-  get places(): number {
+  get capacity(): number {
     const { slots, service } = this.record;
     const { typicalPromptTokens } = this.model;
     if (typicalPromptTokens === 0) return slots;
--- a/src/forwarding/call-run.ts
+++ b/src/forwarding/call-run.ts
@@ -221,7 +221,7 @@
     const events = this.response instanceof StreamRelay ? this.response.events : 0;
     const work: CallWork = { missingTokens, load, events };
     const expectedMs = backend.model.predictMs(work);
-    backend.model.observe(work, tookMs / backend.slowdown.factor, backend.places);
+    backend.model.observe(work, tookMs / backend.slowdown.factor, backend.capacity);
     backend.slowdown.note(tookMs, expectedMs);
     return expectedMs;
   }
--- a/src/forwarding/placement.ts
+++ b/src/forwarding/placement.ts
@@ -112,9 +112,9 @@
 }
 
 /** Wait for a place; the load is known a moment late only, so that nearly full costs as well. */
-function queueMsAt({ load, model, places }: BackendState): number {
-  const waiting = Math.max(0, load + 1 - places);
-  return (model.typicalMs * (waiting + SPREAD_SHARE * load)) / places;
+function queueMsAt({ load, model, capacity }: BackendState): number {
+  const waiting = Math.max(0, load + 1 - capacity);
+  return (model.typicalMs * (waiting + SPREAD_SHARE * load)) / capacity;
 }
 
 /** Tokens of the prompt that a back end most likely has to read. */
--- a/src/forwarding/program-admission.test.ts
+++ b/src/forwarding/program-admission.test.ts
@@ -81,8 +81,8 @@
     }
   }
 
-  private get occupancy(): { load: number; places: number }[] {
-    return this.engines.map((engine) => ({ load: engine.length, places: PLACES }));
+  private get occupancy(): { load: number; capacity: number }[] {
+    return this.engines.map((engine) => ({ load: engine.length, capacity: PLACES }));
   }
 
   private arrive(): void {
@@ -175,7 +175,7 @@
 
   it('takes or refuses a program alike each time it asks, and never one that has begun', () => {
     const admission = new ProgramAdmission();
-    const nearLimit = [{ load: 2.25 * PLACES, places: PLACES }];
+    const nearLimit = [{ load: 2.25 * PLACES, capacity: PLACES }];
     const answers = Array.from({ length: 200 }, (_, index) => {
       const call = callOf({ id: `p${index}`, bornAt: 0, turnsLeft: TURNS, sends: 0 }, 0);
       const first = admission.admits(SERVICE, ROUTE.priority, call, nearLimit);
@@ -193,7 +193,7 @@
     const admission = new ProgramAdmission();
     const urgent = { priority: 0 } as Route;
     const patient = { priority: 1 } as Route;
-    const full = [{ load: 1.92 * PLACES, places: PLACES }];
+    const full = [{ load: 1.92 * PLACES, capacity: PLACES }];
     const takenOf = (route: Route): number =>
       Array.from({ length: 200 }, (_, index) => {
         const call = callOf({ id: `p${index}`, bornAt: 0, turnsLeft: TURNS, sends: 0 }, 0);
--- a/src/forwarding/program-admission.ts
+++ b/src/forwarding/program-admission.ts
@@ -34,7 +34,7 @@
   /** Calls under way. */
   readonly load: number;
   /** Typical calls that fit at once. */
-  readonly places: number;
+  readonly capacity: number;
 }
 
 /** A turn that is over. */
@@ -71,7 +71,7 @@
   noteEnd(turn: EndedTurn, engines: readonly EngineOccupancy[], gateways: number): void {
     const limit = this.limits.get(turn.service);
     if (!limit) return;
-    const ownPlaces = placesOf(engines) / gateways;
+    const ownPlaces = capacityOf(engines) / gateways;
     const step = GAIN / Math.max(1, ownPlaces);
     const isTested = busyShareOf(engines) > limit.busyShare * TESTED_SHARE;
     if (!isTested) {
@@ -134,13 +134,13 @@
   return isLate ? Math.max(0, excess) : excess;
 }
 
-function placesOf(engines: readonly EngineOccupancy[]): number {
-  return engines.reduce((sum, engine) => sum + engine.places, 0);
+function capacityOf(engines: readonly EngineOccupancy[]): number {
+  return engines.reduce((sum, engine) => sum + engine.capacity, 0);
 }
 
 /** Calls under way as a share of the places of all engines. */
 function busyShareOf(engines: readonly EngineOccupancy[]): number {
-  const places = placesOf(engines);
+  const capacity = capacityOf(engines);
   const load = engines.reduce((sum, engine) => sum + engine.load, 0);
-  return places === 0 ? 0 : load / places;
+  return capacity === 0 ? 0 : load / capacity;
 }
