--- a/src/forwarding/send-attempt.ts
+++ b/src/forwarding/send-attempt.ts
@@ -27,7 +27,7 @@
   /** @returns false to be asked for more later, through `SendAttempt.resume` */
   onData(chunk: Buffer): boolean;
   /** Why the answer is of no use, once that is known; it is given up then. */
-  readonly objection?: string;
+  readonly rejectionReason?: string;
 }
 
 export interface SendAttemptOptions {
@@ -154,8 +154,8 @@
   }
 
   private heedObjection(): void {
-    const { objection } = this.options.sink;
-    if (objection !== undefined) this.giveUp(objection);
+    const { rejectionReason } = this.options.sink;
+    if (rejectionReason !== undefined) this.giveUp(rejectionReason);
   }
 
   private giveUp(cause: string): void {
--- a/src/forwarding/stream-relay.ts
+++ b/src/forwarding/stream-relay.ts
@@ -42,7 +42,7 @@
     this.answer = new CallerResponse(options.exchange);
   }
 
-  get objection(): string | undefined {
+  get rejectionReason(): string | undefined {
     return this.currentObjection;
   }
 
