--- a/src/forwarding/turn-reservations.ts
+++ b/src/forwarding/turn-reservations.ts
@@ -210,7 +210,7 @@
     const timeoutMs = Math.max(KEEP_SLACK_MS, deadlineMs - monotonicMs());
     try {
       await ledger.settle({ ...settlement, keep }, timeoutMs);
-      this.histories.remember(attempt, history, input, output);
+      this.histories.add(attempt, history, input, output);
       return ending;
     } catch (error) {
       const { id: call, program: context } = exchange.description;
--- a/src/ledger/history-cache.ts
+++ b/src/ledger/history-cache.ts
@@ -23,7 +23,7 @@
   }
 
   /** Remembers a turn with all that came before it. */
-  remember(turn: string, before: Uint8Array | undefined, input: Buffer, output: Buffer): void {
+  add(turn: string, before: Uint8Array | undefined, input: Buffer, output: Buffer): void {
     const parts = before === undefined ? [input, output] : [before, input, output];
     this.histories.set(turn, Buffer.concat(parts));
   }
--- a/src/ledger/ledger.test.ts
+++ b/src/ledger/ledger.test.ts
@@ -317,10 +317,10 @@
 describe('history cache', () => {
   it('continues what it has and forgets the oldest beyond its bound', () => {
     const cache = new TurnHistoryCache(12);
-    cache.remember('a', undefined, Buffer.from('i'), Buffer.from('o'));
-    cache.remember('b', cache.find('a'), Buffer.from('j'), Buffer.from('p'));
+    cache.add('a', undefined, Buffer.from('i'), Buffer.from('o'));
+    cache.add('b', cache.find('a'), Buffer.from('j'), Buffer.from('p'));
     expect(cache.find('b')?.toString()).toBe('iojp');
-    cache.remember('c', undefined, Buffer.from('12345'), Buffer.from('67890'));
+    cache.add('c', undefined, Buffer.from('12345'), Buffer.from('67890'));
     expect(cache.find('a')).toBeUndefined();
     expect(cache.find('c')?.toString()).toBe('1234567890');
   });
