--- a/src/ledger/ledger-client.ts
+++ b/src/ledger/ledger-client.ts
@@ -216,7 +216,7 @@
       return answer;
     } catch (error) {
       this.window.leaveFailed(monotonicMs() - startedAt);
-      this.queue.putBack(batch);
+      this.queue.requeue(batch);
       this.sendSoon();
       throw error;
     }
@@ -268,7 +268,7 @@
       this.noteSettled(batch);
       return true;
     } catch (error) {
-      this.queue.putBack(batch);
+      this.queue.requeue(batch);
       const reason = describeError(error);
       this.logger.warn('settlements delayed', { waiting: this.queue.size, reason });
       return false;
--- a/src/ledger/ledger.test.ts
+++ b/src/ledger/ledger.test.ts
@@ -309,7 +309,7 @@
     expect(batch.settlements.map(({ attempt }) => attempt)).toEqual(['a', 'b']);
     expect(queue.take().settlements).toEqual([]);
     queue.add({ program: 'p', attempt: 'c', spentTokens: 3 });
-    queue.putBack(batch);
+    queue.requeue(batch);
     expect(queue.take().settlements.map(({ attempt }) => attempt)).toEqual(['a', 'b', 'c']);
   });
 });
--- a/src/ledger/settlement-queue.ts
+++ b/src/ledger/settlement-queue.ts
@@ -50,7 +50,7 @@
     return new SettlementBatch(this.queued.splice(0, most));
   }
 
-  putBack(batch: SettlementBatch): void {
+  requeue(batch: SettlementBatch): void {
     this.queued.unshift(...batch.undelivered);
   }
 }
