--- a/src/ledger/ledger-client.ts
+++ b/src/ledger/ledger-client.ts
@@ -223,7 +223,7 @@
   }
 
   private get mayRide(): boolean {
-    const ordinaryMs = Math.max(RIDE_SILENCE_MS, 2 * this.window.answerMs);
+    const ordinaryMs = Math.max(RIDE_SILENCE_MS, 2 * this.window.expectedResponseMs);
     return !this.isAway && this.outage.silenceMs < ordinaryMs;
   }
 
@@ -252,7 +252,7 @@
       const rideMs = RIDE_WAIT_MS - this.queue.oldestAgeMs;
       if (rideMs > 0) await sleep(rideMs);
       // A reservation that asks for a leader finds it for settlements too.
-      else if (this.isAway && this.window.isAsking) await sleep(RESEND_WAIT_MS);
+      else if (this.isAway && this.window.hasRequestInFlight) await sleep(RESEND_WAIT_MS);
       else if (await this.sendBatch(this.queue.take(this.isAway ? PROBE_BATCH : undefined)))
         resendWait.reset();
       else await sleep(resendWait.nextDelayMs());
@@ -295,7 +295,7 @@
   }
 
   private async probe(): Promise<void> {
-    if (this.isProbing || this.window.isAsking) return;
+    if (this.isProbing || this.window.hasRequestInFlight) return;
     this.isProbing = true;
     await this.sendBatch(this.queue.take(PROBE_BATCH));
     this.isProbing = false;
--- a/src/ledger/reservation-window.test.ts
+++ b/src/ledger/reservation-window.test.ts
@@ -76,7 +76,7 @@
     await turns.arrive(0);
     turns.window.leaveFailed(USEFUL_MS);
     await turns.arrive(1, 2);
-    await vi.advanceTimersByTimeAsync(USEFUL_MS - turns.window.answerMs - 1);
+    await vi.advanceTimersByTimeAsync(USEFUL_MS - turns.window.expectedResponseMs - 1);
     expect(turns.refused).toEqual([]);
     await vi.advanceTimersByTimeAsync(2);
     expect(turns.refused).toEqual([2]);
--- a/src/ledger/reservation-window.ts
+++ b/src/ledger/reservation-window.ts
@@ -25,12 +25,12 @@
   constructor(private readonly isSilent: () => boolean) {}
 
   /** Whether a question is under way. */
-  get isAsking(): boolean {
+  get hasRequestInFlight(): boolean {
     return this.underWay > 0;
   }
 
   /** What an answer takes, in milliseconds. */
-  get answerMs(): number {
+  get expectedResponseMs(): number {
     return this.expectedMs;
   }
 
