--- a/src/value-store/orphaned-index.test.ts
+++ b/src/value-store/orphaned-index.test.ts
@@ -25,7 +25,7 @@
     onFatal: () => expect(disk.isAlive).toBe(false),
     segmentBytes: SEGMENT_BYTES,
     cacheBytes: 1,
-    gatherMs: 1,
+    writeDelayMs: 1,
   });
 }
 
--- a/src/value-store/value-store.test.ts
+++ b/src/value-store/value-store.test.ts
@@ -293,7 +293,7 @@
   constructor(private readonly random: SeededRandom) {}
 
   async start(): Promise<void> {
-    this.opened = await open(this.folder, { segmentBytes: 600, gatherMs: 0 });
+    this.opened = await open(this.folder, { segmentBytes: 600, writeDelayMs: 0 });
     this.store.retain((key) => this.wanted.has(key));
   }
 
--- a/src/value-store/value-store.ts
+++ b/src/value-store/value-store.ts
@@ -35,8 +35,8 @@
  * Values gather until somebody needs them on disk, there are so many bytes of them, or the oldest has waited
  * for so long, in milliseconds: they come one by one, and each write costs as much processor time as a message.
  */
-const GATHERED_BYTES = 256 * 1024;
-const DEFAULT_GATHER_MS = 100;
+const WRITE_THRESHOLD_BYTES = 256 * 1024;
+const DEFAULT_WRITE_DELAY_MS = 100;
 /** Error code of a read that the disk can't do; any other may be over soon, as a lack of memory is. */
 const DAMAGED_CODE = 'EIO';
 /** Pause between two tries on a full disk, in milliseconds: as the write-ahead log's. */
@@ -56,7 +56,7 @@
   /** Bytes of values that may wait to be written before `waitForRoom` holds up. @default 4 MiB */
   maxPendingBytes?: number;
   /** Longest time for which values gather before they are written, in milliseconds. @default 100 */
-  gatherMs?: number;
+  writeDelayMs?: number;
 }
 
 /** The store was closed; what was put last may not be on disk. */
@@ -70,7 +70,7 @@
   private readonly segmentBytes: number;
   private readonly maxPendingBytes: number;
   private readonly quotaBytes: number;
-  private readonly gatherMs: number;
+  private readonly writeDelayMs: number;
   private readonly wake = new SignalEvent();
   /** Notified when something was written, or when the disk was found full. */
   private readonly progress = new SignalEvent();
@@ -78,9 +78,9 @@
   private isClosing = false;
   /** Syncs that wait for what is pending. */
   private waitingSyncs = 0;
-  private gatherTimer: NodeJS.Timeout | undefined;
+  private writeDelayTimer: NodeJS.Timeout | undefined;
   /** The oldest pending value has waited for long enough. */
-  private hasGathered = false;
+  private hasDelayElapsed = false;
   /** Something came since the writer last looked; it may have looked just before. */
   private hasNews = false;
   private writer: Promise<void> = Promise.resolve();
@@ -91,7 +91,7 @@
     this.segmentBytes = options.segmentBytes ?? DEFAULT_SEGMENT_BYTES;
     this.maxPendingBytes = options.maxPendingBytes ?? DEFAULT_MAX_PENDING_BYTES;
     this.quotaBytes = options.quotaBytes ?? Number.POSITIVE_INFINITY;
-    this.gatherMs = options.gatherMs ?? DEFAULT_GATHER_MS;
+    this.writeDelayMs = options.writeDelayMs ?? DEFAULT_WRITE_DELAY_MS;
     this.files = new SegmentFiles(options.folder, this.segmentBytes);
     this.cache = new LRUCache({
       maxSize: options.cacheBytes ?? DEFAULT_CACHE_BYTES,
@@ -132,7 +132,7 @@
     this.pending.add(key, value);
     this.counters.putBytes += encodedRecordLength(key, value);
     if (this.isWriteDue) this.wakeWriter();
-    else this.gatherTimer ??= setTimeout(() => this.endGathering(), this.gatherMs);
+    else this.writeDelayTimer ??= setTimeout(() => this.endWriteDelay(), this.writeDelayMs);
   }
 
   /** @returns undefined when the value is not held, can't be read now, or is damaged, which drops it */
@@ -192,7 +192,7 @@
   /** Ends after the write that is under way; what still waits is not written. */
   async close(): Promise<void> {
     this.isClosing = true;
-    clearTimeout(this.gatherTimer);
+    clearTimeout(this.writeDelayTimer);
     this.wakeWriter();
     this.progress.notify();
     await this.writer;
@@ -210,12 +210,14 @@
   }
 
   private get isWriteDue(): boolean {
-    return this.hasGathered || this.waitingSyncs > 0 || this.pending.bytes >= GATHERED_BYTES;
+    return (
+      this.hasDelayElapsed || this.waitingSyncs > 0 || this.pending.bytes >= WRITE_THRESHOLD_BYTES
+    );
   }
 
-  private endGathering(): void {
-    this.gatherTimer = undefined;
-    this.hasGathered = true;
+  private endWriteDelay(): void {
+    this.writeDelayTimer = undefined;
+    this.hasDelayElapsed = true;
     this.wakeWriter();
   }
 
@@ -264,7 +266,7 @@
       await this.writePending();
       return true;
     }
-    this.hasGathered = false;
+    this.hasDelayElapsed = false;
     const segment = this.worthCleaning();
     if (segment) await this.clean(segment);
     return segment !== undefined;
