--- a/src/value-store/pending-values.ts
+++ b/src/value-store/pending-values.ts
@@ -23,7 +23,7 @@
   }
 
   /** Whether values up to and with a sequence have all been written or dropped. */
-  isDoneUpTo(sequence: number): boolean {
+  isDrainedUpTo(sequence: number): boolean {
     for (const oldest of this.values.values()) return oldest.sequence > sequence;
     return true;
   }
--- a/src/value-store/value-store.ts
+++ b/src/value-store/value-store.ts
@@ -200,8 +200,8 @@
   }
 
   private async waitWritten(sequence: number): Promise<void> {
-    if (!this.pending.isDoneUpTo(sequence)) this.wakeWriter();
-    while (!this.pending.isDoneUpTo(sequence)) {
+    if (!this.pending.isDrainedUpTo(sequence)) this.wakeWriter();
+    while (!this.pending.isDrainedUpTo(sequence)) {
       if (this.isFull) throw this.fullError();
       // Nobody writes it any more: the process that stops would wait for ever.
       if (this.isClosing) throw this.closedError();
