--- a/src/ledger/ledger-client.ts
+++ b/src/ledger/ledger-client.ts
@@ -167,8 +167,15 @@
     steps: ReservationTrace,
   ): Promise<ReserveResponse> {
     const { histories, logger } = this;
-    const ask = this.ask.bind(this);
-    return new ReservationAttempt({ request, limitMs, steps, ask, histories, logger }).run();
+    const sendRequest = this.ask.bind(this);
+    return new ReservationAttempt({
+      request,
+      limitMs,
+      steps,
+      sendRequest,
+      histories,
+      logger,
+    }).run();
   }
 
   /** Asks the ledger once there is room for one more question. */
--- a/src/ledger/reservation-attempt.ts
+++ b/src/ledger/reservation-attempt.ts
@@ -23,7 +23,11 @@
   limitMs: number;
   steps: ReservationTrace;
   /** Asks the ledger's leader. */
-  ask: (request: TurnRequest, limitMs: number, steps: ReservationTrace) => Promise<ReserveResponse>;
+  sendRequest: (
+    request: TurnRequest,
+    limitMs: number,
+    steps: ReservationTrace,
+  ) => Promise<ReserveResponse>;
   /** Reads histories at members that don't lead; without it the leader sends them. */
   histories: HistoryReader | undefined;
   logger: Logger;
@@ -41,9 +45,9 @@
    * @throws NotReservedError, MaybeReservedError, GroupUnavailableError, HistoryMissingError
    */
   async run(): Promise<ReserveResponse> {
-    const { request, histories, steps, ask } = this.options;
+    const { request, histories, steps, sendRequest } = this.options;
     const mayReadElsewhere = histories !== undefined;
-    const answer = await ask({ ...request, mayReadElsewhere }, this.leftMs, steps);
+    const answer = await sendRequest({ ...request, mayReadElsewhere }, this.leftMs, steps);
     const { historySource, missingHistory } = answer;
     if (missingHistory) return this.waitForHistory(missingHistory);
     if (!historySource) return answer;
@@ -98,9 +102,9 @@
 
   /** For a turn that is reserved already: whatever comes of it, the reservation may stand. */
   private async askOnceMore(): Promise<ReserveResponse> {
-    const { request, steps, ask } = this.options;
+    const { request, steps, sendRequest } = this.options;
     try {
-      const answer = await ask(request, this.leftMs, steps);
+      const answer = await sendRequest(request, this.leftMs, steps);
       if (answer.history) steps.historyFrom = steps.leader;
       return answer;
     } catch (error) {
