--- a/src/ledger/missing-history.test.ts
+++ b/src/ledger/missing-history.test.ts
@@ -137,7 +137,7 @@
     expect(error.message).toMatch(/another has been silent for \d+ ms/);
     expect(error.comeBackMs).toBeGreaterThan(HELD_MS - ASK_AGAIN_MS);
     const { group } = await ledger.cluster.waitLeader();
-    expect(steps).toMatchObject({ failed: 'read-history', leader: group.leaderAddress });
+    expect(steps).toMatchObject({ failedStep: 'read-history', leader: group.leaderAddress });
     expect(steps.requestCount).toBeGreaterThan(1);
   });
 });
