--- a/src/nodes/gateway-node.ts
+++ b/src/nodes/gateway-node.ts
@@ -113,7 +113,7 @@
   }
 
   /** No new callers are wanted any more; those that come are still served. */
-  beginStop(): void {
+  startDraining(): void {
     this.isStopping = true;
   }
 
