--- a/lab/ledger/ledger-host.ts
+++ b/lab/ledger/ledger-host.ts
@@ -105,7 +105,7 @@
   });
   service.registerHandlers(host.router);
   await host.listen();
-  await host.found({ members: founders });
+  await host.bootstrap({ members: founders });
   await host.enter(
     new GroupClient({ peers: host.peers, addresses: founders.map(({ address }) => address) }),
   );
--- a/src/nodes/control-node.ts
+++ b/src/nodes/control-node.ts
@@ -115,7 +115,7 @@
     });
     if (signal.aborted) return;
     if (identity.identity.state === 'founding') {
-      await this.member.found({ members: identity.identity.founders });
+      await this.member.bootstrap({ members: identity.identity.founders });
       await identity.save({ ...identity.identity, state: 'member' });
     }
     await this.member.enter(this.client);
--- a/src/nodes/group-member-process.ts
+++ b/src/nodes/group-member-process.ts
@@ -108,7 +108,7 @@
   }
 
   /** Writes the first entry of the group; every founder writes the same. */
-  found(configuration: GroupConfiguration): Promise<void> {
+  bootstrap(configuration: GroupConfiguration): Promise<void> {
     return this.host.bootstrapGroup(this.options.groupName, configuration);
   }
 
--- a/src/nodes/journal-node.ts
+++ b/src/nodes/journal-node.ts
@@ -180,7 +180,7 @@
     const founders = view.ledgerFounders;
     const isFounder = founders.some((founder) => founder.id === memberId);
     if (isFounder && state !== 'member') {
-      await this.member.found({ members: founders });
+      await this.member.bootstrap({ members: founders });
       await identity.save({ memberId, state: 'member', founders });
     }
     if (!isFounder && state === 'new') {
--- a/src/nodes/missing-log.test.ts
+++ b/src/nodes/missing-log.test.ts
@@ -49,7 +49,7 @@
   const process = await openProcess(dataFolder);
   await process.listen();
   const { memberId } = process.identity.identity;
-  await process.found({ members: [{ ...process.ownMember, role: 'voter' }] });
+  await process.bootstrap({ members: [{ ...process.ownMember, role: 'voter' }] });
   await process.identity.save({ memberId, state, founders: [] });
   await process.enter(createClient(process));
   const group = process.group!;
