--- a/lab/ledger/ledger-host.ts
+++ b/lab/ledger/ledger-host.ts
@@ -106,7 +106,7 @@
   service.registerHandlers(host.router);
   await host.listen();
   await host.bootstrap({ members: founders });
-  await host.enter(
+  await host.joinGroup(
     new GroupClient({ peers: host.peers, addresses: founders.map(({ address }) => address) }),
   );
   return host;
--- a/src/nodes/control-node.ts
+++ b/src/nodes/control-node.ts
@@ -118,7 +118,7 @@
       await this.member.bootstrap({ members: identity.identity.founders });
       await identity.save({ ...identity.identity, state: 'member' });
     }
-    await this.member.enter(this.client);
+    await this.member.joinGroup(this.client);
     this.leader.attach(this.member.group!);
     this.refreshAddresses();
     this.hooks.logger.info('control serving', { member: identity.identity.memberId });
--- a/src/nodes/group-member-process.ts
+++ b/src/nodes/group-member-process.ts
@@ -113,7 +113,7 @@
   }
 
   /** Opens the group from what the disk holds of it and takes part in it. */
-  async enter(client: GroupClient): Promise<void> {
+  async joinGroup(client: GroupClient): Promise<void> {
     const { groupName, stateMachine, settings, isRetiring, logger } = this.options;
     const group = await this.host.openGroup(groupName, stateMachine);
     this.requireLog(group);
--- a/src/nodes/journal-node.ts
+++ b/src/nodes/journal-node.ts
@@ -170,7 +170,7 @@
     if (state === 'new' || this.isEntering) return;
     this.isEntering = true;
     this.ledgerClient.setAddresses(founders.map(({ address }) => address));
-    await this.member.enter(this.ledgerClient);
+    await this.member.joinGroup(this.ledgerClient);
     this.hooks.logger.info('journal serving again', {});
   }
 
@@ -186,7 +186,7 @@
     if (!isFounder && state === 'new') {
       await identity.save({ memberId, state: 'joining', founders });
     }
-    await this.member.enter(this.ledgerClient);
+    await this.member.joinGroup(this.ledgerClient);
     this.hooks.logger.info('journal serving', { member: memberId, isFounder });
   }
 
--- a/src/nodes/missing-log.test.ts
+++ b/src/nodes/missing-log.test.ts
@@ -51,7 +51,7 @@
   const { memberId } = process.identity.identity;
   await process.bootstrap({ members: [{ ...process.ownMember, role: 'voter' }] });
   await process.identity.save({ memberId, state, founders: [] });
-  await process.enter(createClient(process));
+  await process.joinGroup(createClient(process));
   const group = process.group!;
   await waitUntil('leads', () => group.isCurrentLeader);
   await group.propose(encodeValue('item'));
@@ -67,7 +67,7 @@
   const process = await openProcess(dataFolder);
   await process.listen();
   try {
-    await expect(process.enter(createClient(process))).rejects.toBeInstanceOf(DamagedLogError);
+    await expect(process.joinGroup(createClient(process))).rejects.toBeInstanceOf(DamagedLogError);
   } finally {
     await process.stop();
   }
