--- a/src/consensus/group-host.ts
+++ b/src/consensus/group-host.ts
@@ -124,7 +124,7 @@
       const group = this.target(request);
       const receivedAt = monotonicMs();
       const response = await group.requestHandler.append(request);
-      group.times.append.note(monotonicMs() - receivedAt);
+      group.times.append.record(monotonicMs() - receivedAt);
       return response;
     });
     router.handle(SNAPSHOT, (request) => this.target(request).requestHandler.snapshot(request));
--- a/src/consensus/proposal-limiter.ts
+++ b/src/consensus/proposal-limiter.ts
@@ -71,7 +71,7 @@
    */
   submit(proposal: Proposal): Promise<unknown> {
     if (this.waiting.length === 0 && this.window.hasRoom(proposal.command.length)) {
-      this.options.times.gate.note(0);
+      this.options.times.gate.record(0);
       return this.append(proposal);
     }
     if (this.waitingBytes + heldBytes(proposal) > MAX_WAITING_BYTES) {
@@ -106,7 +106,7 @@
     window.take(bytes);
     const free = (): void => {
       const tookMs = monotonicMs() - appendedAt;
-      this.options.times.commit.note(tookMs);
+      this.options.times.commit.record(tookMs);
       window.noteCommitted(bytes, tookMs);
       this.admit();
     };
@@ -124,7 +124,7 @@
   }
 
   private appendFor({ proposal, result, since }: WaitingProposal): void {
-    this.options.times.gate.note(monotonicMs() - since);
+    this.options.times.gate.record(monotonicMs() - since);
     try {
       this.append(proposal).then(
         (value) => result.resolve(value),
--- a/src/consensus/replicated-group.ts
+++ b/src/consensus/replicated-group.ts
@@ -458,7 +458,7 @@
     for (const replicator of this.replicators.values()) replicator.notify();
     written.then(
       () => {
-        this.times.ownSync.note(monotonicMs() - appendedAt);
+        this.times.ownSync.record(monotonicMs() - appendedAt);
         this.onOwnEntrySynced(entry);
       },
       (error) => this.environment.onFatal(error),
--- a/src/observability/duration-summary.ts
+++ b/src/observability/duration-summary.ts
@@ -11,7 +11,7 @@
   private sumMs = 0;
   private maxMs = 0;
 
-  note(tookMs: number): void {
+  record(tookMs: number): void {
     this.count += 1;
     this.sumMs += tookMs;
     this.maxMs = Math.max(this.maxMs, tookMs);
