--- a/lab/ledger/ledger-host.ts
+++ b/lab/ledger/ledger-host.ts
@@ -119,7 +119,7 @@
     processorMs: (user + system) / 1_000,
     voterBytes: group?.traffic.voterEntries ?? 0,
     collections,
-    logSyncs: group?.times.ownSync.take().count ?? 0,
+    logSyncs: group?.times.ownSync.readAndReset().count ?? 0,
   };
 }
 
--- a/src/nodes/member-load-log.ts
+++ b/src/nodes/member-load-log.ts
@@ -48,10 +48,10 @@
     const before = this.before ?? now;
     this.before = now;
     const times = {
-      gate: group.times.gate.take(),
-      ownSync: group.times.ownSync.take(),
-      commit: group.times.commit.take(),
-      append: group.times.append.take(),
+      gate: group.times.gate.readAndReset(),
+      ownSync: group.times.ownSync.readAndReset(),
+      commit: group.times.commit.readAndReset(),
+      append: group.times.append.readAndReset(),
     };
     const loop = performance.eventLoopUtilization(this.loopBefore);
     this.loopBefore = performance.eventLoopUtilization();
--- a/src/observability/duration-summary.ts
+++ b/src/observability/duration-summary.ts
@@ -18,7 +18,7 @@
   }
 
   /** Reads the figures, rounded to whole milliseconds, and begins anew. */
-  take(): DurationStats {
+  readAndReset(): DurationStats {
     const { count, sumMs, maxMs } = this;
     this.count = 0;
     this.sumMs = 0;
