--- a/emulator/engine/engine-runner.ts
+++ b/emulator/engine/engine-runner.ts
@@ -52,7 +52,7 @@
         continue;
       }
       const idleSince = monotonicMs();
-      await this.wake.waitUpTo(IDLE_TICK_MS);
+      await this.wake.waitWithTimeout(IDLE_TICK_MS);
       due = monotonicMs();
       this.model.idle((due - idleSince) / this.timeScale);
     }
--- a/src/common/signal-event.ts
+++ b/src/common/signal-event.ts
@@ -16,7 +16,7 @@
   }
 
   /** Resolves at the next `notify` or after `timeoutMs`, whichever comes first. */
-  async waitUpTo(timeoutMs: number): Promise<void> {
+  async waitWithTimeout(timeoutMs: number): Promise<void> {
     const { waiting } = this;
     await new Promise<void>((resolve) => {
       const timer = setTimeout(resolve, timeoutMs);
--- a/src/control/order-delivery.ts
+++ b/src/control/order-delivery.ts
@@ -80,7 +80,7 @@
       const { revision, document } = this.options.current();
       if (revision !== this.knownRevision) this.takeRevision(revision, document);
       this.sendDue();
-      await this.wake.waitUpTo(TICK_MS);
+      await this.wake.waitWithTimeout(TICK_MS);
     }
   }
 
--- a/src/directory/directory-leader.ts
+++ b/src/directory/directory-leader.ts
@@ -213,7 +213,7 @@
     while (!request.isUrgent && !this.hasNewsFor(request) && this.group?.isLeader) {
       const left = deadline - monotonicMs();
       if (left <= 0) break;
-      await this.news.waitUpTo(left);
+      await this.news.waitWithTimeout(left);
       await this.answerTurns.next();
     }
     const view = this.viewFor(request);
--- a/src/directory/gateway-confirmations.ts
+++ b/src/directory/gateway-confirmations.ts
@@ -62,7 +62,7 @@
       const isSettled = lagging.length === 0 && now >= allKnownAt;
       const leftMs = startedAt + timeoutMs - now;
       if (isSettled || leftMs <= 0) return lagging;
-      await this.asked.waitUpTo(this.nextLookMs(lagging, now, leftMs, allKnownAt));
+      await this.asked.waitWithTimeout(this.nextLookMs(lagging, now, leftMs, allKnownAt));
     }
   }
 
--- a/src/forwarding/call-forwarder.test.ts
+++ b/src/forwarding/call-forwarder.test.ts
@@ -73,7 +73,7 @@
     };
     this.forwarder = new CallForwarder({
       routes: () => this.routes,
-      waitForRoutes: (timeoutMs) => this.arrived.waitUpTo(timeoutMs),
+      waitForRoutes: (timeoutMs) => this.arrived.waitWithTimeout(timeoutMs),
       directoryAgeMs: () => 0,
       access: () => ({ kind: 'allowed', tenant: undefined }),
       quotas: {
--- a/src/journal/journal-leader.ts
+++ b/src/journal/journal-leader.ts
@@ -71,7 +71,7 @@
       const answer = answerJournalQuery(this.stateMachine.state, query) as CallResponse;
       const remaining = deadline - monotonicMs();
       if (answer.status !== 'running' || remaining <= 0) return answer;
-      await this.changed.waitUpTo(remaining);
+      await this.changed.waitWithTimeout(remaining);
       if (!this.group.isLeader) throw new NotLeaderError(this.group.name, undefined);
     }
   }
--- a/src/journal/release-delivery.ts
+++ b/src/journal/release-delivery.ts
@@ -53,7 +53,7 @@
       for (const backend of this.backendsWithReleases()) {
         if (!this.busyBackends.has(backend)) void this.deliverTo(backend);
       }
-      await this.wake.waitUpTo(MAXIMUM_RETRY_DELAY_MS);
+      await this.wake.waitWithTimeout(MAXIMUM_RETRY_DELAY_MS);
     }
   }
 
--- a/src/ledger/turn-history-store.ts
+++ b/src/ledger/turn-history-store.ts
@@ -234,7 +234,7 @@
     for (;;) {
       const leftMs = deadlineMs - monotonicMs();
       if (leftMs <= 0 || this.missingOf(named).length === 0) return;
-      await this.copyArrived.waitUpTo(leftMs);
+      await this.copyArrived.waitWithTimeout(leftMs);
     }
   }
 
--- a/src/log-store/write-ahead-log.ts
+++ b/src/log-store/write-ahead-log.ts
@@ -242,7 +242,7 @@
       await this.wake.wait();
       return;
     }
-    await this.wake.waitUpTo(SYNC_MARKER_IDLE_MS);
+    await this.wake.waitWithTimeout(SYNC_MARKER_IDLE_MS);
     if (this.queue.length > 0 || this.closing) return;
     this.markerNeeded = false;
     const marker = encodeRecord(encodeLogRecord({ kind: 'sync-marker' }), this.syncedOffset);
--- a/src/nodes/gateway-node.ts
+++ b/src/nodes/gateway-node.ts
@@ -78,7 +78,7 @@
     this.addGauges();
     this.forwarder = new CallForwarder({
       routes: () => this.routes,
-      waitForRoutes: (timeoutMs) => this.routesArrived.waitUpTo(timeoutMs),
+      waitForRoutes: (timeoutMs) => this.routesArrived.waitWithTimeout(timeoutMs),
       directoryAgeMs: () => this.watcher.leaderContactAgeMs,
       access: (route, key) => decideAccess(route, key, this.keyKnowledge),
       quotas: this.quotas,
--- a/src/quotas/gateway-quotas.ts
+++ b/src/quotas/gateway-quotas.ts
@@ -129,7 +129,7 @@
         const leftMs = deadline - monotonicMs();
         if (leftMs <= 0 || this.stopping.signal.aborted) return false;
         this.askSoon();
-        await this.answered.waitUpTo(leftMs);
+        await this.answered.waitWithTimeout(leftMs);
         if (this.shares.take(tenant, beginsProgram, monotonicMs())) return true;
         if (this.shares.isScarce(tenant, monotonicMs())) return false;
       }
@@ -164,7 +164,7 @@
       if (this.shares.isAnyWaiting) return;
       if (this.isNeeded && elapsedMs() >= SHORTEST_INTERVAL_MS) return;
       const untilMs = this.isNeeded ? SHORTEST_INTERVAL_MS : REGULAR_INTERVAL_MS;
-      await this.needed.waitUpTo(Math.max(1, untilMs - elapsedMs()));
+      await this.needed.waitWithTimeout(Math.max(1, untilMs - elapsedMs()));
     }
   }
 
--- a/src/value-store/value-store.ts
+++ b/src/value-store/value-store.ts
@@ -249,7 +249,7 @@
           return;
         }
         this.noteFull(true);
-        await this.wake.waitUpTo(FULL_RETRY_MS);
+        await this.wake.waitWithTimeout(FULL_RETRY_MS);
       }
     }
   }
--- a/src/wire/peer-link.ts
+++ b/src/wire/peer-link.ts
@@ -95,7 +95,7 @@
 
   /** Resolves with whether the link is up, waiting at most `timeoutMs` for it. */
   async waitConnected(timeoutMs: number): Promise<boolean> {
-    if (!this.isConnected) await this.connected.waitUpTo(timeoutMs);
+    if (!this.isConnected) await this.connected.waitWithTimeout(timeoutMs);
     return this.isConnected;
   }
 
