--- a/src/observability/index.ts
+++ b/src/observability/index.ts
@@ -3,6 +3,6 @@
 export { addGauge } from './gauge.js';
 export { GatewayMetrics } from './gateway-metrics.js';
 export { EventLog, type EventLogOptions } from './event-log.js';
-export { LineWriter, type LineBudget, type LineWriterOptions } from './line-writer.js';
+export { LineWriter, type LineRateLimit, type LineWriterOptions } from './line-writer.js';
 export * from './logger.js';
 export * from './status-server.js';
--- a/src/observability/line-writer.ts
+++ b/src/observability/line-writer.ts
@@ -10,10 +10,10 @@
   /** Bytes that may wait to be written. @default 262144 */
   maxQueuedBytes?: number;
   /** Lines and bytes a second that are taken at most, with as much at once. */
-  budget?: LineBudget;
+  budget?: LineRateLimit;
 }
 
-export interface LineBudget {
+export interface LineRateLimit {
   linesPerSecond: number;
   bytesPerSecond: number;
 }
@@ -22,7 +22,7 @@
 export type LinePriority = 'normal' | 'high';
 
 const DEFAULT_QUEUED_BYTES = 256 * 1024;
-const DEFAULT_BUDGET: LineBudget = { linesPerSecond: 1_000, bytesPerSecond: 512 * 1024 };
+const DEFAULT_BUDGET: LineRateLimit = { linesPerSecond: 1_000, bytesPerSecond: 512 * 1024 };
 /** Share of the budget that only lines of high priority may use. */
 const RESERVED_SHARE = 0.3;
 const FLUSH_DELAY_MS = 50;
@@ -30,7 +30,7 @@
 export class LineWriter {
   private readonly descriptor: number;
   private readonly maxQueuedBytes: number;
-  private readonly budget: LineBudget;
+  private readonly budget: LineRateLimit;
   private queue: string[] = [];
   private queuedBytes = 0;
   private isWriting = false;
