--- a/src/clustering/free-machine.test.ts
+++ b/src/clustering/free-machine.test.ts
@@ -4,7 +4,7 @@
 import { waitUntil } from '../../tests/support/wait-until.js';
 import { sleep } from '../common/index.js';
 import { createLogger } from '../observability/index.js';
-import { VoterKeeper } from './voter-keeper.js';
+import { VoterSetManager } from './voter-set-manager.js';
 
 /** Longer than a voter may be silent before it counts as unreachable, in milliseconds. */
 const SILENCE_MS = 1_500;
@@ -17,7 +17,7 @@
 it('is not free while a voter that has lost its disk is counted on', async () => {
   const cluster = await startCluster();
   const leader = await cluster.waitLeader();
-  const keeper = new VoterKeeper(leader.group, {
+  const keeper = new VoterSetManager(leader.group, {
     wishedVoters: 3,
     isRetiring: (name) => name === 'emptied',
     logger: createLogger({ test: 'free-machine' }),
--- a/src/clustering/voter-keeper.test.ts
+++ b/src/clustering/voter-set-manager.test.ts
@@ -7,7 +7,7 @@
 import type { LogFields, Logger } from '../observability/index.js';
 import { MethodRouter } from '../wire/index.js';
 import { REQUEST_ADMISSION } from './messages.js';
-import { VoterKeeper } from './voter-keeper.js';
+import { VoterSetManager } from './voter-set-manager.js';
 
 /** Longer than a process that presented itself is remembered, in milliseconds. */
 const CANDIDATE_MEMORY_MS = 2_600;
@@ -27,7 +27,7 @@
 /** A keeper on the group's leader with what it logs and what hears the members that present themselves. */
 function keepVoters(leader: RunningMember) {
   const recorder = new StepRecorder();
-  const keeper = new VoterKeeper(leader.group, {
+  const keeper = new VoterSetManager(leader.group, {
     wishedVoters: 3,
     isRetiring: () => false,
     logger: recorder,
--- a/src/clustering/voter-keeper.ts
+++ b/src/clustering/voter-set-manager.ts
@@ -24,7 +24,7 @@
  */
 const CAUGHT_UP_INTERVALS = 5;
 
-export interface VoterKeeperOptions {
+export interface VoterSetManagerOptions {
   wishedVoters: number;
   isRetiring: (name: string) => boolean;
   logger: Logger;
@@ -35,7 +35,7 @@
   seenAt: number;
 }
 
-export class VoterKeeper {
+export class VoterSetManager {
   private readonly candidates = new Map<string, SeenCandidate>();
   private readonly timer: NodeJS.Timeout;
   /** Last indexes of the log at the latest intervals, oldest first. */
@@ -44,7 +44,7 @@
 
   constructor(
     private readonly group: ReplicatedGroup,
-    private readonly options: VoterKeeperOptions,
+    private readonly options: VoterSetManagerOptions,
   ) {
     this.timer = setInterval(() => void this.keep(), KEEPER_INTERVAL_MS);
   }
--- a/src/nodes/group-member-process.ts
+++ b/src/nodes/group-member-process.ts
@@ -12,7 +12,7 @@
   checkConsensusOptions,
   type ConsensusOptions,
 } from '../consensus/index.js';
-import { presentToLeader, VoterKeeper } from '../clustering/index.js';
+import { presentToLeader, VoterSetManager } from '../clustering/index.js';
 import { IdentityStore } from '../control/identity.js';
 import { DamagedLogError, SnapshotStore, WriteAheadLog } from '../log-store/index.js';
 import type { Logger } from '../observability/index.js';
@@ -41,7 +41,7 @@
   readonly peers: PeerDirectory;
   private readonly urgentPeers: PeerDirectory;
   group: ReplicatedGroup | undefined;
-  keeper: VoterKeeper | undefined;
+  keeper: VoterSetManager | undefined;
   private readonly stopping = new AbortController();
   private host!: GroupHost;
   private rpcServer!: RpcServer;
@@ -118,7 +118,7 @@
     const group = await this.host.openGroup(groupName, stateMachine);
     this.requireLog(group);
     this.group = group;
-    this.keeper = new VoterKeeper(group, {
+    this.keeper = new VoterSetManager(group, {
       wishedVoters: voterCountFor(settings.toleratedLosses),
       isRetiring,
       logger,
--- a/tests/support/simulated-disk-member.ts
+++ b/tests/support/simulated-disk-member.ts
@@ -1,6 +1,6 @@
 /** One process of the ledger's group with its real stores, on a simulated disk. */
 import { join } from 'node:path';
-import { VoterKeeper, presentToLeader } from '../../src/clustering/index.js';
+import { VoterSetManager, presentToLeader } from '../../src/clustering/index.js';
 import {
   type CheckedConsensusOptions,
   GroupClient,
@@ -150,7 +150,7 @@
     });
     service.registerHandlers(router);
     const isRetiring = (): boolean => false;
-    const keeper = new VoterKeeper(group, { wishedVoters: WISHED_VOTERS, isRetiring, logger });
+    const keeper = new VoterSetManager(group, { wishedVoters: WISHED_VOTERS, isRetiring, logger });
     keeper.registerHandler(router);
     signal.addEventListener('abort', () => keeper.stop());
     network.listen(name, router);
