--- a/src/clustering/admission-task.test.ts
+++ b/src/clustering/admission-task.test.ts
@@ -4,7 +4,7 @@
 import { sleep } from '../common/index.js';
 import { GroupClient, type Member, type ReplicatedGroup } from '../consensus/index.js';
 import { MethodRouter } from '../wire/index.js';
-import { presentToLeader } from './admission-task.js';
+import { runAdmissionTask } from './admission-task.js';
 import { REQUEST_ADMISSION } from './messages.js';
 
 const LEADER = 'leader';
@@ -24,7 +24,7 @@
   const client = new GroupClient({ peers: network.peersOf('m4'), addresses: [LEADER] });
   const group = { name: 'g', isLeader: false, configuration: { members } } as ReplicatedGroup;
   const stopping = new AbortController();
-  const task = presentToLeader({ group, member: MEMBER, client, signal: stopping.signal });
+  const task = runAdmissionTask({ group, member: MEMBER, client, signal: stopping.signal });
   await sleep(WATCHED_MS);
   stopping.abort();
   await task;
--- a/src/clustering/admission-task.ts
+++ b/src/clustering/admission-task.ts
@@ -20,7 +20,7 @@
   signal: AbortSignal;
 }
 
-export async function presentToLeader(options: AdmissionTaskOptions): Promise<void> {
+export async function runAdmissionTask(options: AdmissionTaskOptions): Promise<void> {
   const { group, member, client, signal } = options;
   while (!signal.aborted) {
     if (!group.isLeader) await requestAdmission(client, group.name, member);
--- a/src/clustering/index.ts
+++ b/src/clustering/index.ts
@@ -1,5 +1,5 @@
 /** How replicated groups are founded and how their members come, are replaced and go. */
-export { presentToLeader, type AdmissionTaskOptions } from './admission-task.js';
+export { runAdmissionTask, type AdmissionTaskOptions } from './admission-task.js';
 export * from './messages.js';
 export { VoterSetManager, type VoterSetManagerOptions } from './voter-set-manager.js';
 export { planMembershipStep, type MembershipStep, type VoterPlanInput } from './voter-plan.js';
--- a/src/nodes/group-member-process.ts
+++ b/src/nodes/group-member-process.ts
@@ -12,7 +12,7 @@
   checkConsensusOptions,
   type ConsensusOptions,
 } from '../consensus/index.js';
-import { presentToLeader, VoterSetManager } from '../clustering/index.js';
+import { runAdmissionTask, VoterSetManager } from '../clustering/index.js';
 import { IdentityStore } from '../control/identity.js';
 import { DamagedLogError, SnapshotStore, WriteAheadLog } from '../log-store/index.js';
 import type { Logger } from '../observability/index.js';
@@ -126,7 +126,7 @@
     this.keeper.registerHandler(this.router);
     this.host.start();
     const { ownMember: member, signal } = this;
-    void presentToLeader({ group, member, client, signal });
+    void runAdmissionTask({ group, member, client, signal });
   }
 
   /** Hands leadership over and closes everything. */
--- a/tests/support/simulated-disk-member.ts
+++ b/tests/support/simulated-disk-member.ts
@@ -1,6 +1,6 @@
 /** One process of the ledger's group with its real stores, on a simulated disk. */
 import { join } from 'node:path';
-import { VoterSetManager, presentToLeader } from '../../src/clustering/index.js';
+import { VoterSetManager, runAdmissionTask } from '../../src/clustering/index.js';
 import {
   type CheckedConsensusOptions,
   GroupClient,
@@ -160,7 +160,7 @@
       addresses: [...addresses],
       tryTimeoutMs: TRY_TIMEOUT_MS,
     });
-    void presentToLeader({ group, member: this.member, client, signal });
+    void runAdmissionTask({ group, member: this.member, client, signal });
   }
 }
 
