--- a/src/clustering/free-machine.test.ts
+++ b/src/clustering/free-machine.test.ts
@@ -18,7 +18,7 @@
   const cluster = await startCluster();
   const leader = await cluster.waitLeader();
   const keeper = new VoterSetManager(leader.group, {
-    wishedVoters: 3,
+    targetVoters: 3,
     isRetiring: (name) => name === 'emptied',
     logger: createLogger({ test: 'free-machine' }),
   });
--- a/src/clustering/voter-plan.test.ts
+++ b/src/clustering/voter-plan.test.ts
@@ -11,7 +11,7 @@
   return planMembershipStep({
     configuration: { members },
     ownId: 'a-1',
-    wishedVoters: 3,
+    targetVoters: 3,
     candidates: [],
     isReachable: () => true,
     isLost: () => false,
--- a/src/clustering/voter-plan.ts
+++ b/src/clustering/voter-plan.ts
@@ -12,7 +12,7 @@
 export interface VoterPlanInput {
   configuration: GroupConfiguration;
   ownId: string;
-  wishedVoters: number;
+  targetVoters: number;
   /** Processes that presented themselves lately, also those that are members. */
   candidates: readonly Candidate[];
   /** Whether a member has answered lately. */
@@ -58,13 +58,13 @@
   const voters = votersOf(input.configuration);
   const unfit = voters.find((voter) => isUnfit(input, voter));
   const successor = readyLearner(input);
-  if (unfit && successor && voters.length <= input.wishedVoters) {
+  if (unfit && successor && voters.length <= input.targetVoters) {
     return { kind: 'promote', member: { ...successor, role: 'voter' } };
   }
-  if (!unfit && voters.length < input.wishedVoters && successor) {
+  if (!unfit && voters.length < input.targetVoters && successor) {
     return { kind: 'promote', member: { ...successor, role: 'voter' } };
   }
-  if (voters.length <= input.wishedVoters) return undefined;
+  if (voters.length <= input.targetVoters) return undefined;
   const leaving = unfit ?? voters.find((voter) => voter.id !== input.ownId);
   if (!leaving) return undefined;
   return leaving.id === input.ownId ? { kind: 'hand-over' } : { kind: 'remove', member: leaving };
--- a/src/clustering/voter-set-manager.test.ts
+++ b/src/clustering/voter-set-manager.test.ts
@@ -28,7 +28,7 @@
 function keepVoters(leader: RunningMember) {
   const recorder = new StepRecorder();
   const keeper = new VoterSetManager(leader.group, {
-    wishedVoters: 3,
+    targetVoters: 3,
     isRetiring: () => false,
     logger: recorder,
   });
--- a/src/clustering/voter-set-manager.ts
+++ b/src/clustering/voter-set-manager.ts
@@ -25,7 +25,7 @@
 const CAUGHT_UP_INTERVALS = 5;
 
 export interface VoterSetManagerOptions {
-  wishedVoters: number;
+  targetVoters: number;
   isRetiring: (name: string) => boolean;
   logger: Logger;
 }
@@ -78,7 +78,7 @@
     if (!group.isCurrentLeader || !group.isConfigurationSettled) return false;
     if (group.configuration.members.some((member) => member.name === name)) return false;
     const voters = votersOf(group.configuration);
-    if (voters.length < this.options.wishedVoters) return false;
+    if (voters.length < this.options.targetVoters) return false;
     return voters.every((voter) => voter.id === group.ownId || this.holdsLog(voter.id));
   }
 
@@ -106,7 +106,7 @@
     return planMembershipStep({
       configuration: this.group.configuration,
       ownId: this.group.ownId,
-      wishedVoters: this.options.wishedVoters,
+      targetVoters: this.options.targetVoters,
       candidates: [...this.candidates.values()],
       isReachable: (id) => this.isReachable(id),
       isLost: (id) => now - this.lastContactMs(id) > LOST_AFTER_MS,
--- a/src/directory/ledger-bootstrap.ts
+++ b/src/directory/ledger-bootstrap.ts
@@ -11,8 +11,8 @@
 export class LedgerBootstrap {
   private firstJournalAt: number | undefined;
 
-  /** @param wishedVoters members that the group should have */
-  constructor(private readonly wishedVoters: number) {}
+  /** @param targetVoters members that the group should have */
+  constructor(private readonly targetVoters: number) {}
 
   /** A journal process has announced itself. */
   noteJournal(): void {
@@ -27,9 +27,9 @@
     if (this.firstJournalAt === undefined) return undefined;
     const able = present.filter((node) => node.memberId !== undefined);
     const waitedMs = monotonicMs() - this.firstJournalAt;
-    const isEnough = able.length >= this.wishedVoters;
+    const isEnough = able.length >= this.targetVoters;
     if (waitedMs < (isEnough ? SETTLE_MS : PATIENCE_MS)) return undefined;
-    return chooseFounders(able, this.wishedVoters);
+    return chooseFounders(able, this.targetVoters);
   }
 }
 
--- a/src/nodes/group-member-process.ts
+++ b/src/nodes/group-member-process.ts
@@ -119,7 +119,7 @@
     this.requireLog(group);
     this.group = group;
     this.keeper = new VoterSetManager(group, {
-      wishedVoters: voterCountFor(settings.toleratedLosses),
+      targetVoters: voterCountFor(settings.toleratedLosses),
       isRetiring,
       logger,
     });
--- a/tests/support/simulated-disk-member.ts
+++ b/tests/support/simulated-disk-member.ts
@@ -150,7 +150,7 @@
     });
     service.registerHandlers(router);
     const isRetiring = (): boolean => false;
-    const keeper = new VoterSetManager(group, { wishedVoters: WISHED_VOTERS, isRetiring, logger });
+    const keeper = new VoterSetManager(group, { targetVoters: WISHED_VOTERS, isRetiring, logger });
     keeper.registerHandler(router);
     signal.addEventListener('abort', () => keeper.stop());
     network.listen(name, router);
