--- a/src/clustering/free-machine.test.ts
+++ b/src/clustering/safe-removal.test.ts
@@ -33,5 +33,5 @@
   await cluster.loseDisk(await cluster.crash(victim.member.id));
   await sleep(SILENCE_MS);
   expect(leader.group.isCurrentLeader).toBe(true);
-  expect(keeper.isFreeOf('emptied')).toBe(false);
+  expect(keeper.isSafeToRemove('emptied')).toBe(false);
 });
--- a/src/clustering/voter-set-manager.ts
+++ b/src/clustering/voter-set-manager.ts
@@ -73,7 +73,7 @@
   }
 
   /** Whether the group neither needs nor holds a machine any more, and all voters hold the log. */
-  isFreeOf(name: string): boolean {
+  isSafeToRemove(name: string): boolean {
     const { group } = this;
     if (!group.isCurrentLeader || !group.isConfigurationSettled) return false;
     if (group.configuration.members.some((member) => member.name === name)) return false;
--- a/src/nodes/journal-node.ts
+++ b/src/nodes/journal-node.ts
@@ -197,7 +197,7 @@
     while (!signal.aborted) {
       await sleep(RETIREMENT_CHECK_MS, signal);
       for (const name of this.retiring) {
-        if (reported.has(name) || !this.member.keeper?.isFreeOf(name)) continue;
+        if (reported.has(name) || !this.member.keeper?.isSafeToRemove(name)) continue;
         try {
           await this.directory.completeRetirement(name);
           reported.add(name);
