--- a/src/control/cluster-formation.ts
+++ b/src/control/cluster-formation.ts
@@ -47,7 +47,7 @@
 }
 
 /** Resolves once this member founded a cluster with all others, or found one to join. */
-export async function findCluster(options: ClusterFormationOptions): Promise<void> {
+export async function discoverCluster(options: ClusterFormationOptions): Promise<void> {
   const { identity, logger, signal } = options;
   while (identity.identity.state === 'new' && !signal.aborted) {
     const answers = await probeOthers(options);
--- a/src/control/control-process.ts
+++ b/src/control/control-process.ts
@@ -21,7 +21,7 @@
 import { CONFIGURATION_STATUS, OperatorApi } from '../operators/index.js';
 import { type ControlSettings, createAddressResolver } from '../settings/index.js';
 import { MethodRouter, RpcServer } from '../wire/index.js';
-import { findCluster, registerProbe } from './cluster-formation.js';
+import { discoverCluster, registerProbe } from './cluster-formation.js';
 import { ConfigurationServer } from './configuration-server.js';
 import { HoldReconciler } from './hold-reconciler.js';
 import { IdentityStore } from './identity.js';
@@ -188,7 +188,7 @@
     const { signal } = this.stopping;
     const { members } = this.settings.cluster;
     const ownName = this.settings.node.name;
-    await findCluster({ ownName, members, identity, peers, logger, signal });
+    await discoverCluster({ ownName, members, identity, peers, logger, signal });
     if (signal.aborted) return;
     if (identity.identity.state === 'founding') await this.foundGroups();
     const groups: ReplicatedGroup[] = [];
--- a/src/nodes/control-node.ts
+++ b/src/nodes/control-node.ts
@@ -1,5 +1,5 @@
 /** The control process: a member of the directory's group, and the way in for orders to it. */
-import { findCluster, registerProbe } from '../control/cluster-formation.js';
+import { discoverCluster, registerProbe } from '../control/cluster-formation.js';
 import type { Registry } from 'prom-client';
 import { GroupClient, type ReplicatedGroup } from '../consensus/index.js';
 import {
@@ -104,7 +104,7 @@
     const { identity, peers, signal } = this.member;
     const { settings } = this;
     const { controlSeeds, internalAddress } = settings;
-    await findCluster({
+    await discoverCluster({
       ownName: internalAddress,
       members: controlSeeds.map((address) => ({ name: address, address, zone: '', region: '' })),
       identity,
