--- a/src/control/cluster-formation.ts
+++ b/src/control/cluster-formation.ts
@@ -36,7 +36,7 @@
   logger: Logger;
   signal: AbortSignal;
   /** Whether this process may found a cluster, rather than only join one. @default true */
-  mayFound?: boolean;
+  canBootstrap?: boolean;
 }
 
 export function registerProbe(router: MethodRouter, identity: IdentityStore): void {
@@ -51,9 +51,9 @@
   const { identity, logger, signal } = options;
   while (identity.identity.state === 'new' && !signal.aborted) {
     const answers = await probeOthers(options);
-    const mayFound = options.mayFound ?? true;
+    const canBootstrap = options.canBootstrap ?? true;
     const founders =
-      foundersKnownTo(answers) ?? (mayFound ? foundersTogether(options, answers) : undefined);
+      foundersKnownTo(answers) ?? (canBootstrap ? foundersTogether(options, answers) : undefined);
     if (!founders) {
       await sleep(PROBE_INTERVAL_MS, signal);
       continue;
--- a/src/nodes/control-node.ts
+++ b/src/nodes/control-node.ts
@@ -111,7 +111,7 @@
       peers,
       logger: this.hooks.logger,
       signal,
-      mayFound: settings.isFirstStart && controlSeeds.includes(internalAddress),
+      canBootstrap: settings.isFirstStart && controlSeeds.includes(internalAddress),
     });
     if (signal.aborted) return;
     if (identity.identity.state === 'founding') {
