--- a/src/control/control-process.ts
+++ b/src/control/control-process.ts
@@ -23,7 +23,7 @@
 import { MethodRouter, RpcServer } from '../wire/index.js';
 import { discoverCluster, registerProbe } from './cluster-formation.js';
 import { ConfigurationServer } from './configuration-server.js';
-import { HoldReconciler } from './hold-reconciler.js';
+import { HeldProgramReconciler } from './held-program-reconciler.js';
 import { IdentityStore } from './identity.js';
 import { IntentsLeader } from './intents-leader.js';
 import { joinGroups } from './join-task.js';
@@ -54,7 +54,7 @@
   private rpcServer!: RpcServer;
   private operatorServer!: HttpServer;
   private statusServer!: StatusServer;
-  private reconciler: HoldReconciler | undefined;
+  private reconciler: HeldProgramReconciler | undefined;
   private isReady = false;
 
   private constructor(
@@ -255,9 +255,9 @@
     });
   }
 
-  private createReconciler(): HoldReconciler {
+  private createReconciler(): HeldProgramReconciler {
     const { cluster, node } = this.settings;
-    return new HoldReconciler({
+    return new HeldProgramReconciler({
       ownName: node.name,
       memberNames: cluster.members.map((member) => member.name),
       groupCount: cluster.journalGroups,
--- a/src/control/hold-reconciler.ts
+++ b/src/control/held-program-reconciler.ts
@@ -16,7 +16,7 @@
   journalGroupOf,
 } from '../journal/index.js';
 
-export interface HoldReconcilerOptions {
+export interface HeldProgramReconcilerOptions {
   ownName: string;
   memberNames: string[];
   groupCount: number;
@@ -42,13 +42,13 @@
   second: BackendIntent[];
 }
 
-export class HoldReconciler {
+export class HeldProgramReconciler {
   private readonly stopping = new AbortController();
   /** Fences grow with time, so that a later release is never refused for an earlier one. */
   private round = 0;
   private own: OwnEngines = { backends: [], first: [], second: [] };
 
-  constructor(private readonly options: HoldReconcilerOptions) {}
+  constructor(private readonly options: HeldProgramReconcilerOptions) {}
 
   start(): void {
     void this.run();
