--- a/src/intents/intent-state-machine.ts
+++ b/src/intents/intent-state-machine.ts
@@ -17,7 +17,7 @@
   ReplicatedIntentCommand,
   Revision,
 } from './commands.js';
-import { changesOf } from './partial-document.js';
+import { changesFromPartial } from './partial-document.js';
 import {
   EMPTY_DOCUMENT,
   type IntentChange,
@@ -154,7 +154,7 @@
     changes: IntentChange[];
   } {
     if (command.type === 'partial-plan') {
-      const changes = changesOf(command.partial, this.currentDocument);
+      const changes = changesFromPartial(command.partial, this.currentDocument);
       return { document: applyChanges(this.currentDocument, changes), changes };
     }
     const document = normalizeDocument(command.document);
--- a/src/intents/partial-document.ts
+++ b/src/intents/partial-document.ts
@@ -37,7 +37,10 @@
 }
 
 /** What a partial document changes in a whole one; items that are equal already are left out. */
-export function changesOf(partial: PartialDocument, current: IntentDocument): IntentChange[] {
+export function changesFromPartial(
+  partial: PartialDocument,
+  current: IntentDocument,
+): IntentChange[] {
   return SECTIONS.flatMap((section): IntentChange[] => {
     const items: readonly IntentItem[] = current[section];
     const removed = partial.remove[section]
