--- a/src/intents/document.ts
+++ b/src/intents/document.ts
@@ -178,7 +178,7 @@
 }
 
 /** What makes an item of what was there under its id; undefined when they are equal. */
-export function changeTo(
+export function itemChange(
   section: IntentSection,
   old: IntentItem | undefined,
   item: IntentItem,
@@ -201,7 +201,7 @@
   const changes: IntentChange[] = [];
   for (const id of [...new Set([...before.keys(), ...after.keys()])].sort()) {
     const item = after.get(id);
-    const change = item ? changeTo(section, before.get(id), item) : removal(section, id);
+    const change = item ? itemChange(section, before.get(id), item) : removal(section, id);
     if (change) changes.push(change);
   }
   return changes;
--- a/src/intents/partial-document.ts
+++ b/src/intents/partial-document.ts
@@ -6,7 +6,7 @@
   type IntentItem,
   SECTIONS,
   backendSchema,
-  changeTo,
+  itemChange,
   findItem,
   modelSchema,
   removal,
@@ -47,7 +47,7 @@
       .filter((id) => findItem(items, id))
       .map((id) => removal(section, id));
     const set = partial.set[section]
-      .map((item) => changeTo(section, findItem(items, item.id), item))
+      .map((item) => itemChange(section, findItem(items, item.id), item))
       .filter((change) => change !== undefined);
     return [...removed, ...set];
   });
