--- a/src/intents/document.ts
+++ b/src/intents/document.ts
@@ -187,7 +187,7 @@
   return { section, id: item.id, action: old ? 'change' : 'add', item };
 }
 
-export function removal(section: IntentSection, id: string): IntentChange {
+export function itemRemoval(section: IntentSection, id: string): IntentChange {
   return { section, id, action: 'remove' };
 }
 
@@ -201,7 +201,7 @@
   const changes: IntentChange[] = [];
   for (const id of [...new Set([...before.keys(), ...after.keys()])].sort()) {
     const item = after.get(id);
-    const change = item ? itemChange(section, before.get(id), item) : removal(section, id);
+    const change = item ? itemChange(section, before.get(id), item) : itemRemoval(section, id);
     if (change) changes.push(change);
   }
   return changes;
--- a/src/intents/partial-document.ts
+++ b/src/intents/partial-document.ts
@@ -9,7 +9,7 @@
   itemChange,
   findItem,
   modelSchema,
-  removal,
+  itemRemoval,
   tenantSchema,
 } from './document.js';
 
@@ -45,7 +45,7 @@
     const items: readonly IntentItem[] = current[section];
     const removed = partial.remove[section]
       .filter((id) => findItem(items, id))
-      .map((id) => removal(section, id));
+      .map((id) => itemRemoval(section, id));
     const set = partial.set[section]
       .map((item) => itemChange(section, findItem(items, item.id), item))
       .filter((change) => change !== undefined);
