--- a/src/cli/operator-commands.ts
+++ b/src/cli/operator-commands.ts
@@ -3,7 +3,7 @@
 import type { CAC } from 'cac';
 import { parse, stringify } from 'yaml';
 import {
-  type DocumentAnswer,
+  type DocumentResponse,
   type IntentChange,
   type IntentDocument,
   type PartialDocument,
@@ -128,7 +128,7 @@
 
 /** Prints YAML that can be edited and planned. */
 async function showDocument(client: OperatorClient, flags: OperatorFlags): Promise<void> {
-  const answer = await client.get<DocumentAnswer>('/v1/document');
+  const answer = await client.get<DocumentResponse>('/v1/document');
   const { revision, contentHash, document } = answer;
   print(flags, answer, [
     `# revision ${revision}, content ${contentHash}`,
--- a/src/intents/commands.ts
+++ b/src/intents/commands.ts
@@ -73,7 +73,7 @@
 export type IntentQuery =
   { type: 'document' } | { type: 'plan'; planId: string } | { type: 'history'; limit: number };
 
-export interface DocumentAnswer {
+export interface DocumentResponse {
   revision: number;
   contentHash: string;
   document: IntentDocument;
--- a/src/intents/intent-state-machine.ts
+++ b/src/intents/intent-state-machine.ts
@@ -7,7 +7,7 @@
   ConfigurationUpdate,
   ConfirmCommand,
   ConfirmResult,
-  DocumentAnswer,
+  DocumentResponse,
   IntentCommand,
   IntentQuery,
   PartialPlanCommand,
@@ -121,7 +121,7 @@
     this.onRevision();
   }
 
-  answer(query: IntentQuery): DocumentAnswer | Plan | Revision[] | undefined {
+  answer(query: IntentQuery): DocumentResponse | Plan | Revision[] | undefined {
     switch (query.type) {
       case 'document':
         return {
--- a/src/operators/operator-api.ts
+++ b/src/operators/operator-api.ts
@@ -20,7 +20,7 @@
 import {
   type ConfirmCommand,
   type ConfirmResult,
-  type DocumentAnswer,
+  type DocumentResponse,
   INTENTS_GROUP,
   type IntentQuery,
   type PartialPlanCommand,
@@ -101,7 +101,7 @@
 
   private async readDocument({ request, response }: HttpExchange): Promise<void> {
     this.authenticate(request);
-    sendJson(response, 200, await this.query<DocumentAnswer>({ type: 'document' }));
+    sendJson(response, 200, await this.query<DocumentResponse>({ type: 'document' }));
   }
 
   private async readHistory({ request, response, query }: HttpExchange): Promise<void> {
