--- a/src/scheduling/admission.ts
+++ b/src/scheduling/admission.ts
@@ -1,6 +1,6 @@
 /**
- * Admission: a call gets a back end that has room, or waits in a bounded queue for one. Who waits is
- * served in the order of the queue policy.
+ * Admission control: a call is assigned a backend with free capacity, or waits for one in a bounded
+ * queue, which is served in the order of the queue policy.
  */
 import { Deferred, monotonicMs } from '../common/index.js';
 import type { Backend } from '../backends/index.js';
@@ -9,11 +9,11 @@
 
 export interface AdmissionRequest extends RoutingRequest {
   tenant: string;
-  /** Tokens that the whole program has been given so far. */
+  /** Tokens processed for the whole program so far. */
   attainedService: number;
-  /** The back ends that serve the call, in whatever state; read anew at each try. */
+  /** Backends that serve the call, in any state; evaluated again at each attempt. */
   candidates: () => Backend[];
-  /** Back ends to avoid while there are others, for example because they just failed. */
+  /** Backends to avoid while there are alternatives, for example because they just failed. */
   excluded: ReadonlySet<string>;
 }
 
@@ -29,7 +29,7 @@
   queue: QueuePolicy;
 }
 
-interface Waiting extends WaitingCall {
+interface QueueEntry extends WaitingCall {
   request: AdmissionRequest;
   deferred: Deferred<AdmissionResult>;
   timer: NodeJS.Timeout;
@@ -37,35 +37,35 @@
 
 const MINIMUM_RETRY_AFTER_MS = 100;
 const MAXIMUM_RETRY_AFTER_MS = 5_000;
-/** How often those who wait look for back ends that came or became healthy again. */
+/** How often the queue is checked for backends that were added or have recovered. */
 const RECHECK_INTERVAL_MS = 100;
-/** Weight of the latest completion in the average time between completions. */
-const COMPLETION_WEIGHT = 0.1;
+/** Weight of the latest sample in the moving average of the time between releases. */
+const RELEASE_INTERVAL_WEIGHT = 0.1;
 
 export class Admission {
-  private readonly waiting = new Set<Waiting>();
-  private readonly recheck: NodeJS.Timeout;
+  private readonly queue = new Set<QueueEntry>();
+  private readonly recheckTimer: NodeJS.Timeout;
   private lastReleaseMs = monotonicMs();
-  private averageReleaseGapMs = 10;
+  private averageReleaseIntervalMs = 10;
 
   constructor(private readonly options: AdmissionOptions) {
-    this.recheck = setInterval(() => this.serveWaiting(), RECHECK_INTERVAL_MS);
+    this.recheckTimer = setInterval(() => this.serveWaiting(), RECHECK_INTERVAL_MS);
   }
 
   get waitingCalls(): number {
-    return this.waiting.size;
+    return this.queue.size;
   }
 
   close(): void {
-    clearInterval(this.recheck);
+    clearInterval(this.recheckTimer);
   }
 
   acquire(request: AdmissionRequest): Promise<AdmissionResult> {
     const candidates = request.candidates();
     if (candidates.length === 0) return Promise.resolve({ kind: 'no-backend' });
-    const backend = this.waiting.size === 0 ? this.choose(request) : undefined;
+    const backend = this.queue.size === 0 ? this.choose(request) : undefined;
     if (backend) return Promise.resolve(this.admit(backend, request));
-    if (this.waiting.size >= this.options.maxWaiting) {
+    if (this.queue.size >= this.options.maxWaiting) {
       return Promise.resolve({ kind: 'overloaded', retryAfterMs: this.retryAfterMs() });
     }
     return this.enqueue(request);
@@ -76,39 +76,39 @@
     const { tenant, attainedService } = request;
     const enqueuedAtMs = monotonicMs();
     const timer = setTimeout(() => {
-      this.waiting.delete(entry);
+      this.queue.delete(entry);
       deferred.resolve({ kind: 'overloaded', retryAfterMs: this.retryAfterMs() });
     }, this.options.maxWaitMs);
-    const entry: Waiting = { request, deferred, timer, tenant, attainedService, enqueuedAtMs };
-    this.waiting.add(entry);
+    const entry: QueueEntry = { request, deferred, timer, tenant, attainedService, enqueuedAtMs };
+    this.queue.add(entry);
     this.serveWaiting();
     return deferred.promise;
   }
 
   private serveWaiting(): void {
-    if (this.waiting.size === 0) return;
-    for (const entry of this.options.queue.order([...this.waiting])) {
+    if (this.queue.size === 0) return;
+    for (const entry of this.options.queue.order([...this.queue])) {
       const backend = this.choose(entry.request);
       if (!backend) continue;
-      this.waiting.delete(entry);
+      this.queue.delete(entry);
       clearTimeout(entry.timer);
       entry.deferred.resolve(this.admit(backend, entry.request));
     }
   }
 
   private choose(request: AdmissionRequest): Backend | undefined {
-    const open = this.openCandidates(request);
-    const free = open.filter((backend) => backend.limit.hasRoom);
+    const available = this.availableCandidates(request);
+    const free = available.filter((backend) => backend.limit.hasRoom);
     if (free.length === 0) return undefined;
-    const choice = this.options.routing.choose(open, request);
-    return choice.limit.hasRoom ? choice : this.options.routing.choose(free, request);
+    const chosen = this.options.routing.choose(available, request);
+    return chosen.limit.hasRoom ? chosen : this.options.routing.choose(free, request);
   }
 
-  /** Back ends that failed the call before come last: only when there is no other at all. */
-  private openCandidates(request: AdmissionRequest): Backend[] {
-    const open = request.candidates().filter((backend) => backend.takesNewWork);
-    const untried = open.filter((backend) => !request.excluded.has(backend.id));
-    return untried.length > 0 ? untried : open;
+  /** Excluded backends are candidates only when there is no other. */
+  private availableCandidates(request: AdmissionRequest): Backend[] {
+    const available = request.candidates().filter((backend) => backend.takesNewWork);
+    const untried = available.filter((backend) => !request.excluded.has(backend.id));
+    return untried.length > 0 ? untried : available;
   }
 
   private admit(backend: Backend, request: AdmissionRequest): AdmissionResult {
@@ -130,14 +130,15 @@
 
   private noteRelease(): void {
     const now = monotonicMs();
-    const gap = now - this.lastReleaseMs;
+    const intervalMs = now - this.lastReleaseMs;
     this.lastReleaseMs = now;
-    this.averageReleaseGapMs += COMPLETION_WEIGHT * (gap - this.averageReleaseGapMs);
+    this.averageReleaseIntervalMs +=
+      RELEASE_INTERVAL_WEIGHT * (intervalMs - this.averageReleaseIntervalMs);
   }
 
-  /** When the queue of now will likely be served. */
+  /** Estimated time until the current queue is drained. */
   private retryAfterMs(): number {
-    const estimate = this.averageReleaseGapMs * (this.waiting.size + 1);
+    const estimate = this.averageReleaseIntervalMs * (this.queue.size + 1);
     return Math.min(MAXIMUM_RETRY_AFTER_MS, Math.max(MINIMUM_RETRY_AFTER_MS, Math.round(estimate)));
   }
 }
--- a/src/scheduling/index.ts
+++ b/src/scheduling/index.ts
@@ -1,3 +1,3 @@
-/** Scheduling: admission to back ends and the order of those who wait. */
+/** Scheduling: admission to backends and the order of the queue. */
 export * from './admission.js';
 export * from './queue-policy.js';
--- a/src/scheduling/queue-policy.ts
+++ b/src/scheduling/queue-policy.ts
@@ -1,35 +1,34 @@
-/** In which order waiting calls are served. Each policy is a named choice in the settings. */
+/** The order in which queued calls are served. Policies are selected by name in the settings. */
 import { monotonicMs } from '../common/index.js';
 import type { QueuePolicyName } from '../settings/index.js';
 
 export interface WaitingCall {
   tenant: string;
-  /** Tokens that the whole program has been given so far. */
+  /** Tokens processed for the whole program so far. */
   attainedService: number;
   enqueuedAtMs: number;
 }
 
 export interface QueuePolicy {
-  /** Orders calls, the first to be served first. */
+  /** Sorts calls in the order in which they are to be served. */
   order<Call extends WaitingCall>(calls: Call[]): Call[];
-  /** Notes that a tenant was given service, in tokens. */
+  /** Records tokens processed for a tenant. */
   noteServed(tenant: string, tokens: number): void;
 }
 
-class FirstCome implements QueuePolicy {
+class FirstComeQueue implements QueuePolicy {
   order<Call extends WaitingCall>(calls: Call[]): Call[] {
     return calls.sort((left, right) => left.enqueuedAtMs - right.enqueuedAtMs);
   }
 
   noteServed(): void {
-    // The order does not depend on it.
+    // The order does not depend on service.
   }
 }
 
-/** Service that waiting one second makes up for, in tokens. */
+/** Tokens of attained service that one second of waiting offsets. */
 const TOKENS_PER_WAITED_SECOND = 4_096;
 const MS_PER_SECOND = 1_000;
-/** Time after which a tenant's service counts half. */
 const SERVICE_HALF_LIFE_MS = 5_000;
 
 interface TenantService {
@@ -38,10 +37,11 @@
 }
 
 /**
- * Tenants in the order of their recent service against their weight; within a tenant, programs with
- * the least service so far, where waiting makes up for service.
+ * Weighted fair queueing by attained service: tenants are ordered by recent service divided by
+ * weight; within a tenant, programs with the least attained service go first, minus a credit for
+ * waiting time.
  */
-class AttainedService implements QueuePolicy {
+class AttainedServiceQueue implements QueuePolicy {
   private readonly served = new Map<string, TenantService>();
 
   constructor(private readonly weightOf: (tenant: string) => number) {}
@@ -50,12 +50,12 @@
     const now = monotonicMs();
     const byTenant = new Map<string, Call[]>();
     for (const call of calls) {
-      const own = byTenant.get(call.tenant);
-      if (own) own.push(call);
+      const tenantCalls = byTenant.get(call.tenant);
+      if (tenantCalls) tenantCalls.push(call);
       else byTenant.set(call.tenant, [call]);
     }
-    for (const own of byTenant.values()) {
-      own.sort((left, right) => rank(left, now) - rank(right, now));
+    for (const tenantCalls of byTenant.values()) {
+      tenantCalls.sort((left, right) => rank(left, now) - rank(right, now));
     }
     return this.interleave(byTenant, now);
   }
@@ -65,7 +65,7 @@
     this.served.set(tenant, { tokens: this.recentService(tenant, now) + tokens, atMs: now });
   }
 
-  /** Takes from the tenant with the least service for its weight, one call after the other. */
+  /** Repeatedly takes a call from the tenant with the least weighted service. */
   private interleave<Call extends WaitingCall>(byTenant: Map<string, Call[]>, now: number): Call[] {
     const shares = [...byTenant].map(([tenant, calls]) => ({
       calls,
@@ -95,17 +95,17 @@
   return call.attainedService - waitedSeconds * TOKENS_PER_WAITED_SECOND;
 }
 
-const TOKENS_OF_FIRST_LEVEL = 2_048;
+const FIRST_LEVEL_TOKENS = 2_048;
 
-/** The priority that engines are given: a level that rises with the logarithm of the service. */
+/** The priority sent to engines: a level that grows with the logarithm of the attained service. */
 export function enginePriority(policy: QueuePolicyName, attainedService: number): number {
   if (policy === 'first-come') return 0;
-  return Math.floor(Math.log2(1 + attainedService / TOKENS_OF_FIRST_LEVEL));
+  return Math.floor(Math.log2(1 + attainedService / FIRST_LEVEL_TOKENS));
 }
 
 export function createQueuePolicy(
   name: QueuePolicyName,
   weightOf: (tenant: string) => number,
 ): QueuePolicy {
-  return name === 'first-come' ? new FirstCome() : new AttainedService(weightOf);
+  return name === 'first-come' ? new FirstComeQueue() : new AttainedServiceQueue(weightOf);
 }
--- a/src/scheduling/scheduling.test.ts
+++ b/src/scheduling/scheduling.test.ts
@@ -1,4 +1,4 @@
-/** Admission and the order of those who wait. */
+/** Admission control, queue order and routing policies. */
 import { describe, expect, it, onTestFinished } from 'vitest';
 import { waitUntil } from '../../tests/support/wait-until.js';
 import { Backend } from '../backends/index.js';
@@ -20,19 +20,22 @@
   return new Backend(intent, maxConcurrency);
 }
 
-function admission(change: { maxWaiting?: number; maxWaitMs?: number } = {}): Admission {
+function admission(overrides: { maxWaiting?: number; maxWaitMs?: number } = {}): Admission {
   const created = new Admission({
     maxWaiting: 2,
     maxWaitMs: 5_000,
     routing: createRoutingPolicy('least-outstanding'),
     queue: createQueuePolicy('attained-service', () => 1),
-    ...change,
+    ...overrides,
   });
   onTestFinished(() => created.close());
   return created;
 }
 
-function requestOf(backends: Backend[], change: Partial<AdmissionRequest> = {}): AdmissionRequest {
+function requestOf(
+  backends: Backend[],
+  overrides: Partial<AdmissionRequest> = {},
+): AdmissionRequest {
   return {
     tenant: 't',
     program: 'p',
@@ -42,7 +45,7 @@
     attainedService: 0,
     candidates: () => backends,
     excluded: new Set(),
-    ...change,
+    ...overrides,
   };
 }
 
@@ -52,57 +55,57 @@
 }
 
 describe('admission', () => {
-  it('says at once when there is no back end, or no place to wait', async () => {
-    const own = admission({ maxWaiting: 0 });
-    const only = backend('a');
-    expect(await own.acquire(requestOf([]))).toEqual({ kind: 'no-backend' });
-    await own.acquire(requestOf([only]));
-    const refused = await own.acquire(requestOf([only]));
+  it('fails immediately without a backend or when the queue is full', async () => {
+    const queue = admission({ maxWaiting: 0 });
+    const single = backend('a');
+    expect(await queue.acquire(requestOf([]))).toEqual({ kind: 'no-backend' });
+    await queue.acquire(requestOf([single]));
+    const refused = await queue.acquire(requestOf([single]));
     expect(refused).toMatchObject({ kind: 'overloaded' });
     expect((refused as { retryAfterMs: number }).retryAfterMs).toBeGreaterThan(0);
   });
 
-  it('serves those who wait when a place becomes free', async () => {
-    const own = admission();
-    const only = backend('a');
-    const release = releaseOf(await own.acquire(requestOf([only])));
-    const waiting = own.acquire(requestOf([only]));
-    expect(own.waitingCalls).toBe(1);
+  it('serves a queued call when a backend is released', async () => {
+    const queue = admission();
+    const single = backend('a');
+    const release = releaseOf(await queue.acquire(requestOf([single])));
+    const waiting = queue.acquire(requestOf([single]));
+    expect(queue.waitingCalls).toBe(1);
     release();
     expect(await waiting).toMatchObject({ kind: 'admitted' });
   });
 
-  it('refuses after the longest wait', async () => {
-    const own = admission({ maxWaitMs: 20 });
-    const only = backend('a');
-    await own.acquire(requestOf([only]));
-    expect(await own.acquire(requestOf([only]))).toMatchObject({ kind: 'overloaded' });
+  it('rejects a call after the maximum wait', async () => {
+    const queue = admission({ maxWaitMs: 20 });
+    const single = backend('a');
+    await queue.acquire(requestOf([single]));
+    expect(await queue.acquire(requestOf([single]))).toMatchObject({ kind: 'overloaded' });
   });
 
-  it('gives nothing to a back end that drains or was excluded', async () => {
-    const own = admission();
+  it('skips draining and excluded backends', async () => {
+    const queue = admission();
     const draining = backend('a');
     draining.intent = { ...draining.intent, state: 'draining' };
     const [excluded, good] = [backend('b'), backend('c')];
     const request = requestOf([draining, excluded, good], { excluded: new Set(['b']) });
-    expect(await own.acquire(request)).toMatchObject({ backend: { id: 'c' } });
+    expect(await queue.acquire(request)).toMatchObject({ backend: { id: 'c' } });
   });
 
-  it('goes back to an excluded back end when there is no other', async () => {
+  it('uses an excluded backend when there is no other', async () => {
     const request = requestOf([backend('a')], { excluded: new Set(['a']) });
     expect(await admission().acquire(request)).toMatchObject({ backend: { id: 'a' } });
   });
 
-  it('serves the program with the least service first', async () => {
-    const own = admission({ maxWaiting: 5 });
-    const only = backend('a');
-    const release = releaseOf(await own.acquire(requestOf([only])));
+  it('serves the program with the least attained service first', async () => {
+    const queue = admission({ maxWaiting: 5 });
+    const single = backend('a');
+    const release = releaseOf(await queue.acquire(requestOf([single])));
     const served: string[] = [];
     for (const [name, attainedService] of [
       ['long', 50_000],
       ['short', 10],
     ] as const) {
-      void own.acquire(requestOf([only], { attainedService })).then((result) => {
+      void queue.acquire(requestOf([single], { attainedService })).then((result) => {
         served.push(name);
         releaseOf(result)();
       });
@@ -121,14 +124,14 @@
     enqueuedAtMs,
   });
 
-  it('takes tenants in turn, so that a flood delays its own calls only', () => {
+  it('interleaves tenants, so that a burst of one tenant delays only its own calls', () => {
     const policy = createQueuePolicy('attained-service', () => 1);
     policy.noteServed('flood', 20_000);
     const calls = [...Array.from({ length: 5 }, () => call('flood', 0)), call('quiet', 0)];
     expect(policy.order(calls)[0]!.tenant).toBe('quiet');
   });
 
-  it('gives a heavier tenant more', () => {
+  it('serves a tenant in proportion to its weight', () => {
     const policy = createQueuePolicy('attained-service', (tenant) => (tenant === 'big' ? 4 : 1));
     const calls = ['small', 'big', 'small', 'big', 'small', 'big'].map((tenant) => call(tenant, 0));
     policy.noteServed('big', 1_000);
@@ -137,13 +140,13 @@
     expect(order.slice(0, 3).filter((tenant) => tenant === 'big').length).toBeGreaterThan(1);
   });
 
-  it('makes up for waiting', () => {
+  it('credits waiting time against attained service', () => {
     const policy = createQueuePolicy('attained-service', () => 1);
-    const old = call('t', 10_000, now - 10_000);
-    expect(policy.order([call('t', 100), old])[0]).toBe(old);
+    const waiting = call('t', 10_000, now - 10_000);
+    expect(policy.order([call('t', 100), waiting])[0]).toBe(waiting);
   });
 
-  it('is first come first served by name', () => {
+  it('is first come, first served with the policy first-come', () => {
     const policy = createQueuePolicy('first-come', () => 1);
     const first = call('t', 50_000, now - 5);
     expect(policy.order([call('t', 0), first])[0]).toBe(first);
@@ -160,7 +163,7 @@
     previousBackend: 'b',
   };
 
-  it('goes back to the prefix unless the queue there costs more than it saves', () => {
+  it('prefers the backend with the cached prefix unless its queue costs more than the cache saves', () => {
     const policy = createRoutingPolicy('predicted-finish');
     const [idle, previous] = [backend('a', 10), backend('b', 10)];
     expect(policy.choose([idle, previous], request).id).toBe('b');
@@ -168,7 +171,7 @@
     expect(policy.choose([idle, previous], request).id).toBe('a');
   });
 
-  it('begins where the shared beginning is, unless the queue there is long', () => {
+  it('starts a program on an engine with the shared prefix unless its queue is long', () => {
     const policy = createRoutingPolicy('predicted-finish');
     const [idle, warm] = [backend('a', 10), backend('b', 10)];
     const hints = new PrefixHints();
@@ -189,7 +192,7 @@
     expect(prefixKey('t', 'm', 'x')).not.toBe(prefixKey('u', 'm', 'x'));
   });
 
-  it('has baselines by name', () => {
+  it('provides the baseline policies by name', () => {
     const backends = [backend('a', 10), backend('b', 10)];
     const roundRobin = createRoutingPolicy('round-robin');
     const chosen = [1, 2, 3].map(() => roundRobin.choose(backends, request).id);
