--- a/src/routing/index.ts
+++ b/src/routing/index.ts
@@ -1,3 +1,3 @@
-/** Routing: the choice of a back end for a call. */
+/** Routing: the selection of a backend for a call. */
 export * from './prefix-hints.js';
 export * from './routing-policy.js';
--- a/src/routing/routing-policy.ts
+++ b/src/routing/routing-policy.ts
@@ -1,26 +1,24 @@
-/** Which back end a call goes to. Each policy is a named choice in the settings. */
+/** Selects the backend of a call. Policies are selected by name in the settings. */
 import type { Backend } from '../backends/index.js';
 import type { RoutingPolicyName } from '../settings/index.js';
 
-/** What a policy may know of a call. */
+/** Properties of a call that routing policies use. */
 export interface RoutingRequest {
   program: string;
-  /** Prompt tokens of the call. */
   promptTokens: number;
-  /** Of those, tokens that the previous back end computed for this program. */
+  /** Prompt tokens that the previous backend has already computed for this program. */
   knownPrefixTokens: number;
   previousBackend: string | undefined;
-  /** Tokens of a shared beginning that an engine likely has. @default none anywhere */
+  /** Tokens of a shared prefix that a backend probably has cached. @default none */
   sharedTokensAt?: (backend: Backend) => number;
 }
 
 export interface RoutingPolicy {
-  /** Chooses among back ends that may take the call now; there is at least one. */
+  /** @param candidates available backends, at least one */
   choose(candidates: readonly Backend[], request: RoutingRequest): Backend;
 }
 
-/** One after the other. */
-class RoundRobin implements RoutingPolicy {
+class RoundRobinRouting implements RoutingPolicy {
   private next = 0;
 
   choose(candidates: readonly Backend[]): Backend {
@@ -28,16 +26,16 @@
   }
 }
 
-/** The one with the fewest calls from this gateway. */
-class LeastOutstanding implements RoutingPolicy {
+/** The backend with the fewest calls in flight from this gateway. */
+class LeastOutstandingRouting implements RoutingPolicy {
   choose(candidates: readonly Backend[]): Backend {
     return lowest(candidates, (backend) => backend.limit.inFlight);
   }
 }
 
-/** Where the program was before; else the one with the fewest calls. */
-class StickyByProgram implements RoutingPolicy {
-  private readonly fallback = new LeastOutstanding();
+/** The program's previous backend; otherwise the one with the fewest calls in flight. */
+class StickyRouting implements RoutingPolicy {
+  private readonly fallback = new LeastOutstandingRouting();
 
   choose(candidates: readonly Backend[], request: RoutingRequest): Backend {
     const previous = candidates.find((backend) => backend.id === request.previousBackend);
@@ -45,13 +43,13 @@
   }
 }
 
-/** Weight of a running sequence against prompt tokens to compute, in tokens. Assumed. */
+/** Cost of a running sequence, in equivalent prompt tokens. */
 const TOKENS_PER_RUNNING_CALL = 96;
-/** Weight of a sequence that waits for a place in the batch, in tokens. Assumed. */
-const TOKENS_PER_WAITING_CALL = 200;
+/** Cost of a sequence queued for the batch, in equivalent prompt tokens. */
+const TOKENS_PER_QUEUED_CALL = 200;
 
-/** The one where the answer is predicted to come first: queue plus missing prefix. */
-class PredictedFinish implements RoutingPolicy {
+/** The backend with the earliest predicted response: queued work plus uncached prompt tokens. */
+class PredictedFinishRouting implements RoutingPolicy {
   constructor(private readonly prefixWeight: number) {}
 
   choose(candidates: readonly Backend[], request: RoutingRequest): Backend {
@@ -59,21 +57,21 @@
   }
 }
 
-/** Work before the answer can come, in prompt tokens. */
+/** Work to be done before the response can start, in equivalent prompt tokens. */
 export function predictedWork(
   backend: Backend,
   request: RoutingRequest,
   prefixWeight: number,
 ): number {
-  const missingTokens = request.promptTokens - cachedTokensAt(backend, request);
-  const queued =
+  const uncachedTokens = request.promptTokens - cachedTokensAt(backend, request);
+  const queuedTokens =
     backend.estimatedPrefillTokens +
     TOKENS_PER_RUNNING_CALL * backend.estimatedCalls +
-    TOKENS_PER_WAITING_CALL * backend.load.waiting;
-  return queued + prefixWeight * missingTokens;
+    TOKENS_PER_QUEUED_CALL * backend.load.waiting;
+  return queuedTokens + prefixWeight * uncachedTokens;
 }
 
-/** Prompt tokens that a back end likely need not compute again. */
+/** Prompt tokens that a backend probably has cached. */
 export function cachedTokensAt(backend: Backend, request: RoutingRequest): number {
   if (backend.id === request.previousBackend) return request.knownPrefixTokens;
   return request.sharedTokensAt?.(backend) ?? 0;
@@ -92,16 +90,16 @@
   return best;
 }
 
-/** @param prefixWeight what a prompt token computed again weighs against one of queueing */
+/** @param prefixWeight cost of an uncached prompt token relative to a queued one */
 export function createRoutingPolicy(name: RoutingPolicyName, prefixWeight = 1): RoutingPolicy {
   switch (name) {
     case 'round-robin':
-      return new RoundRobin();
+      return new RoundRobinRouting();
     case 'least-outstanding':
-      return new LeastOutstanding();
+      return new LeastOutstandingRouting();
     case 'sticky':
-      return new StickyByProgram();
+      return new StickyRouting();
     case 'predicted-finish':
-      return new PredictedFinish(prefixWeight);
+      return new PredictedFinishRouting(prefixWeight);
   }
 }
