--- a/src/limits/circuit-breaker.ts
+++ b/src/limits/circuit-breaker.ts
@@ -1,22 +1,22 @@
-/** Keeps calls away from a back end that fails, and tries it again now and then. */
+/** Circuit breaker: stops sending calls to a failing backend and probes it after a backoff. */
 import { Backoff, monotonicMs } from '../common/index.js';
 
 export interface CircuitBreakerOptions {
-  /** Failures in a row that open the circuit. @default 3 */
+  /** Consecutive failures that open the circuit. @default 3 */
   failureThreshold?: number;
-  /** First time for which the circuit stays open, in milliseconds. @default 500 */
+  /** Initial time for which the circuit stays open, in milliseconds. @default 500 */
   initialOpenMs?: number;
-  /** Longest time for which the circuit stays open, in milliseconds. @default 8000 */
+  /** Maximum time for which the circuit stays open, in milliseconds. @default 8000 */
   maximumOpenMs?: number;
 }
 
 const DEFAULT_FAILURE_THRESHOLD = 3;
 const DEFAULT_INITIAL_OPEN_MS = 500;
 const DEFAULT_MAXIMUM_OPEN_MS = 8_000;
-const PROBE_MS = 4_000;
+const PROBE_TIMEOUT_MS = 4_000;
 
 export class CircuitBreaker {
-  private failures = 0;
+  private consecutiveFailures = 0;
   private openUntilMs = 0;
   private readonly backoff: Backoff;
   private readonly failureThreshold: number;
@@ -29,26 +29,27 @@
     });
   }
 
-  /** Whether a call may be sent now; after the open time, one at a time. */
+  /** Whether a call may be sent now; once the open time is over, only one probe at a time. */
   get allows(): boolean {
-    if (this.failures < this.failureThreshold) return true;
+    if (this.consecutiveFailures < this.failureThreshold) return true;
     return monotonicMs() >= this.openUntilMs;
   }
 
-  /** Call when a call is sent. */
+  /** Must be called whenever a call is sent. */
   noteSent(): void {
-    // The one call that is let through has this long to succeed before another is.
-    if (this.failures >= this.failureThreshold) this.openUntilMs = monotonicMs() + PROBE_MS;
+    // The probe has this long to succeed before the next one is allowed.
+    if (this.consecutiveFailures >= this.failureThreshold)
+      this.openUntilMs = monotonicMs() + PROBE_TIMEOUT_MS;
   }
 
   noteSuccess(): void {
-    this.failures = 0;
+    this.consecutiveFailures = 0;
     this.backoff.reset();
   }
 
   noteFailure(): void {
-    this.failures += 1;
-    if (this.failures >= this.failureThreshold) {
+    this.consecutiveFailures += 1;
+    if (this.consecutiveFailures >= this.failureThreshold) {
       this.openUntilMs = monotonicMs() + this.backoff.nextDelayMs();
     }
   }
--- a/src/limits/concurrency-limit.ts
+++ b/src/limits/concurrency-limit.ts
@@ -1,14 +1,14 @@
 /**
- * How many calls may be at a back end at once. The limit follows what the back end bears: it grows
- * by one after a limit's worth of good answers and shrinks by a tenth when the time to the first
- * answer rises well above the best seen lately, or when the back end refuses.
+ * Adaptive limit on concurrent calls to a backend (additive increase, multiplicative decrease). It
+ * grows by one per full window of uncongested responses, shrinks by a tenth per window while the time
+ * to the start of a response is well above the recent minimum, and shrinks when a call is refused.
  */
 export interface ConcurrencyLimitOptions {
-  /** Where the limit starts, and the most it can be. */
+  /** Initial and maximum limit. */
   maximum: number;
-  /** The least it can be. @default 2 */
+  /** Minimum limit. @default 2 */
   minimum?: number;
-  /** How many times the best latency counts as congestion. @default 4 */
+  /** Multiple of the minimum latency that counts as congestion. @default 4 */
   congestionFactor?: number;
 }
 
@@ -16,13 +16,13 @@
 const DEFAULT_CONGESTION_FACTOR = 4;
 const SHRINK_FACTOR = 0.9;
 const REFUSAL_SHRINK_FACTOR = 0.7;
-/** How fast the memory of the best latency fades, per answer. */
-const BEST_DRIFT = 1.005;
+/** Factor by which the tracked minimum latency rises per response, so that old minima expire. */
+const MINIMUM_LATENCY_DRIFT = 1.005;
 
 export class ConcurrencyLimit {
   private limit: number;
-  private active = 0;
-  private bestMs = Number.POSITIVE_INFINITY;
+  private inFlightCalls = 0;
+  private minimumLatencyMs = Number.POSITIVE_INFINITY;
   private readonly minimum: number;
   private readonly congestionFactor: number;
 
@@ -37,25 +37,25 @@
   }
 
   get inFlight(): number {
-    return this.active;
+    return this.inFlightCalls;
   }
 
   get hasRoom(): boolean {
-    return this.active < this.current;
+    return this.inFlightCalls < this.current;
   }
 
   acquire(): void {
-    this.active += 1;
+    this.inFlightCalls += 1;
   }
 
   release(): void {
-    this.active -= 1;
+    this.inFlightCalls -= 1;
   }
 
-  /** Notes the time to an answer's beginning, in milliseconds. */
+  /** @param latencyMs time until the response started */
   noteLatency(latencyMs: number): void {
-    this.bestMs = Math.min(this.bestMs * BEST_DRIFT, latencyMs);
-    const isCongested = latencyMs > this.bestMs * this.congestionFactor;
+    this.minimumLatencyMs = Math.min(this.minimumLatencyMs * MINIMUM_LATENCY_DRIFT, latencyMs);
+    const isCongested = latencyMs > this.minimumLatencyMs * this.congestionFactor;
     if (isCongested) this.limit *= SHRINK_FACTOR ** (1 / Math.max(1, this.limit));
     else this.limit += 1 / this.limit;
     this.clamp();
--- a/src/limits/index.ts
+++ b/src/limits/index.ts
@@ -1,4 +1,4 @@
-/** Limits that protect back ends: concurrency, retries, circuit breaking. */
+/** Overload protection of backends: concurrency limits, retry budgets, circuit breakers. */
 export * from './circuit-breaker.js';
 export * from './concurrency-limit.js';
 export * from './retry-budget.js';
--- a/src/limits/limits.test.ts
+++ b/src/limits/limits.test.ts
@@ -1,4 +1,3 @@
-/** Limits that protect back ends. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { CircuitBreaker } from './circuit-breaker.js';
 import { ConcurrencyLimit } from './concurrency-limit.js';
@@ -8,14 +7,14 @@
 afterEach(() => vi.useRealTimers());
 
 describe('circuit breaker', () => {
-  function opened(): CircuitBreaker {
+  function openBreaker(): CircuitBreaker {
     const breaker = new CircuitBreaker({ failureThreshold: 2, initialOpenMs: 100 });
     breaker.noteFailure();
     breaker.noteFailure();
     return breaker;
   }
 
-  it('opens after failures in a row, not after some among successes', () => {
+  it('opens after consecutive failures only', () => {
     const breaker = new CircuitBreaker({ failureThreshold: 2 });
     breaker.noteFailure();
     breaker.noteSuccess();
@@ -25,8 +24,8 @@
     expect(breaker.allows).toBe(false);
   });
 
-  it('lets one call through after its time, and closes when that succeeds', () => {
-    const breaker = opened();
+  it('allows one probe after the open time and closes when it succeeds', () => {
+    const breaker = openBreaker();
     vi.advanceTimersByTime(200);
     expect(breaker.allows).toBe(true);
     breaker.noteSent();
@@ -36,7 +35,7 @@
   });
 
   it('stays open when the probe fails', () => {
-    const breaker = opened();
+    const breaker = openBreaker();
     vi.advanceTimersByTime(200);
     breaker.noteSent();
     breaker.noteFailure();
@@ -45,7 +44,7 @@
 });
 
 describe('concurrency limit', () => {
-  it('shrinks under congestion and on refusals, and grows again', () => {
+  it('shrinks on congestion and refusals and recovers afterwards', () => {
     const limit = new ConcurrencyLimit({ maximum: 20 });
     limit.noteLatency(10);
     for (let count = 0; count < 100; count += 1) limit.noteLatency(100);
@@ -73,7 +72,7 @@
 });
 
 describe('retry budget', () => {
-  it('bounds retries to a share of first tries', () => {
+  it('limits retries to a fraction of first attempts', () => {
     const budget = new RetryBudget({ capacity: 2, ratio: 0.5 });
     expect([budget.tryTake(), budget.tryTake(), budget.tryTake()]).toEqual([true, true, false]);
     budget.noteFirstTry();
--- a/src/limits/retry-budget.ts
+++ b/src/limits/retry-budget.ts
@@ -1,8 +1,8 @@
-/** Bounds retries to a share of first tries, so that retries cannot multiply an overload. */
+/** Limits retries to a fraction of first attempts, so that retries cannot amplify an overload. */
 export interface RetryBudgetOptions {
-  /** Retries earned by each first try. @default 0.2 */
+  /** Retries earned per first attempt. @default 0.2 */
   ratio?: number;
-  /** Retries that can be saved up, and are there at the start. @default 20 */
+  /** Maximum and initial number of available retries. @default 20 */
   capacity?: number;
 }
 
@@ -24,7 +24,7 @@
     this.tokens = Math.min(this.capacity, this.tokens + this.ratio);
   }
 
-  /** Takes one retry; false when there is none left. */
+  /** Consumes one retry. @returns false when none is available */
   tryTake(): boolean {
     if (this.tokens < 1) return false;
     this.tokens -= 1;
