--- a/src/quotas/gateway-quotas.test.ts
+++ b/src/quotas/gateway-quotas.test.ts
@@ -1,7 +1,6 @@
 /**
- * While no leader answered, calls of tenants without tokens waited a quarter of a second each and were told that their tenant
- * was over its limit: a herd of kills took the leader for 1.2 s, and 263 calls of one zone's gateways ended so in two seconds, with
- * lines like `"outcome":"over-limit","ms":253,"pressure":0`.
+ * Regression test: while no leader responded, calls without tokens waited for the full token timeout and were then
+ * rejected as over the limit.
  */
 import { afterEach, expect, it } from 'vitest';
 import { waitUntil } from '../../tests/support/wait-until.js';
@@ -11,19 +10,19 @@
 import type { SharesResponse, SharesRequest } from './messages.js';
 
 const LIMIT = { name: 'office', ratePerSecond: 50, burst: 50 };
-const SOON_MS = 50;
+const IMMEDIATE_MS = 50;
 
 let quotas: GatewayQuotas;
-let isAnswering = true;
+let isLeaderUp = true;
 let tokens = 1;
 
 afterEach(() => quotas.stop());
 
 function start(): void {
-  isAnswering = true;
+  isLeaderUp = true;
   tokens = 1;
   const call = (_address: string, _method: unknown, request: SharesRequest): Promise<unknown> => {
-    if (!isAnswering) return Promise.reject(new Error('nobody answers'));
+    if (!isLeaderUp) return Promise.reject(new Error('no response'));
     const shares = request.held.map(({ tenant }) => ({
       tenant,
       ratePerSecond: 0,
@@ -42,26 +41,26 @@
   quotas.setLimits([LIMIT]);
 }
 
-it('lets a call pass by a token that the leader gives, and tenants without limit without any', async () => {
+it('admits a call with a token from the leader, and tenants without a limit without a token', async () => {
   start();
   expect(await quotas.take('office', false)).toEqual({ isAllowed: true });
   expect(await quotas.take('nobody', false)).toEqual({ isAllowed: true });
 });
 
-it('says that a tenant is over its limit only where a leader has said so', async () => {
+it('rejects a call as over-limit when the leader reports it', async () => {
   start();
   tokens = 0;
   const decision = await quotas.take('office', false);
   expect(decision).toMatchObject({ isAllowed: false, reason: 'over-limit' });
 });
 
-it('refuses at once, as uncertain, while no leader answers, and serves again after it', async () => {
+it('rejects calls immediately as uncertain while no leader responds, and recovers afterwards', async () => {
   start();
   await quotas.take('office', false);
-  isAnswering = false;
+  isLeaderUp = false;
   let decision = await quotas.take('office', false);
   await waitUntil(
-    'noticed',
+    'outage noticed',
     async () => {
       decision = await quotas.take('office', false);
       return !decision.isAllowed;
@@ -70,15 +69,15 @@
   );
   const startedAt = performance.now();
   decision = await quotas.take('office', false);
-  expect(performance.now() - startedAt).toBeLessThan(SOON_MS);
+  expect(performance.now() - startedAt).toBeLessThan(IMMEDIATE_MS);
   expect(decision).toMatchObject({ isAllowed: false, reason: 'uncertain' });
-  isAnswering = true;
+  isLeaderUp = true;
   const isServed = async (): Promise<boolean> => (await quotas.take('office', false)).isAllowed;
   await waitUntil('served again', isServed, 3_000);
 });
 
-// A field `level` for the tokens of a bucket took the place of the level of the log line: `"level":0.66,"event":"call"`.
-it('describes a refusal without the names that each log line has', async () => {
+// A field `level` once overwrote the level of the log line.
+it('describes a rejection without the field names reserved by the logger', async () => {
   start();
   await quotas.take('office', false);
   const names = Object.keys(quotas.describe('office'));
--- a/src/quotas/gateway-shares.ts
+++ b/src/quotas/gateway-shares.ts
@@ -1,6 +1,6 @@
 /**
- * A gateway's shares of the tenants' limits: which calls may go on, what to ask the leader for, and when a caller that
- * is refused may come back. No input or output, and times are given, so that it can be tested on simulated time.
+ * A gateway's shares of the tenants' limits: admits calls, reports demand to the leader and computes retry delays. Does
+ * no I/O and takes the current time as an argument, so that tests can simulate time.
  */
 import type { LogFields } from '../observability/index.js';
 import type { GrantedShare, HeldShare } from './messages.js';
@@ -8,50 +8,51 @@
 import { isSparse } from './share-allocation.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** What a gateway knows of one tenant. */
+/** A gateway's share and demand of one tenant. */
 interface GatewayShare {
   bucket: TokenBucket;
-  /** Calls of the last seconds, each counted less the older it is. */
+  /** Exponentially decaying count of recent calls, as of `recentAt`. */
   recentCalls: number;
   recentAt: number;
+  /** Calls waiting for a token. */
   waiting: number;
-  /** Until then the leader has no token (monotonic, milliseconds). */
+  /** The leader has no token until then (monotonic, milliseconds). */
   scarceUntil: number;
-  /** What the tenant asks for, as a multiple of its limit, as the leader last said. */
+  /** The tenant's total demand as a multiple of its limit, as last reported by the leader. */
   pressure: number;
-  /** The token that the last refused caller was told to come back for (monotonic, milliseconds). */
-  promisedAt: number;
+  /** The retry time given to the last rejected caller (monotonic, milliseconds). */
+  lastRetryAt: number;
 }
 
-/** Demand is what came in about so many seconds: a single call is no demand for a share. */
+/** Time constant of the demand estimate, long enough that a single call does not count as demand. */
 const DEMAND_WINDOW_S = 3;
-/** A tenant with less than this a second is forgotten, and its share given back. */
-const LEAST_DEMAND_PER_SECOND = 0.05;
-/** A bucket is low when it holds less than what comes in so many seconds. */
-const LOW_S = 0.25;
-/** While its tenant asks for more than its limit, this part of a bucket is kept for programs that have begun. */
-const BEGUN_PROGRAMS_SHARE = 0.5;
-/** Soonest and latest time after which a refused caller is told to come back, in milliseconds. */
-const SOONEST_RETURN_MS = 150;
-const LATEST_RETURN_MS = 2_000;
+/** Demand below which a tenant's share is released. */
+const MINIMUM_DEMAND_PER_SECOND = 0.05;
+/** A bucket is low when it holds less than this many seconds of demand. */
+const LOW_BUCKET_S = 0.25;
+/** Fraction of a bucket reserved for running programs while the tenant exceeds its limit. */
+const RUNNING_PROGRAMS_RESERVE = 0.5;
+/** Bounds of the retry delay, in milliseconds. */
+const MINIMUM_RETRY_MS = 150;
+const MAXIMUM_RETRY_MS = 2_000;
 const MS_PER_SECOND = 1_000;
-const NO_SHARE: QuotaShare = { ratePerSecond: 0, capacity: 0 };
+const EMPTY_SHARE: QuotaShare = { ratePerSecond: 0, capacity: 0 };
 
 export class GatewayShares {
   private readonly shares = new Map<string, GatewayShare>();
   private leaseEndsAt = Number.NEGATIVE_INFINITY;
 
-  /** Notes a call that a tenant asks for. */
+  /** Records an arriving call as demand. */
   noteCall(tenant: string, now: number): void {
     const share = this.shareOf(tenant, now);
-    share.recentCalls = decayed(share, now) + 1;
+    share.recentCalls = recentCallsAt(share, now) + 1;
     share.recentAt = now;
   }
 
   /**
    * Takes a token for a call.
-   * @param beginsProgram whether the call is the first of a program: where tokens are scarce, those that have begun
-   *   go first, since only whole programs are worth something
+   * @param beginsProgram whether the call is the first of a program; running programs take precedence when tokens are
+   *   scarce, since an unfinished program is of no use
    */
   take(tenant: string, beginsProgram: boolean, now: number): boolean {
     if (now >= this.leaseEndsAt) return false;
@@ -59,54 +60,53 @@
     return share.bucket.take(now, reserveOf(share, beginsProgram));
   }
 
-  /** A call that had taken a token has not run. */
+  /** Refunds the token of a call that has not run. */
   giveBack(tenant: string, now: number): void {
     this.shares.get(tenant)?.bucket.add(1, now);
   }
 
-  /** @param change +1 when a call begins to wait for a token, -1 when it does no more */
+  /** @param change +1 when a call starts to wait for a token, -1 when it stops waiting */
   noteWaiting(tenant: string, change: 1 | -1, now: number): void {
     this.shareOf(tenant, now).waiting += change;
   }
 
-  /** Whether the leader should be asked before the regular time. */
+  /** Whether tokens should be requested before the next regular request. */
   isLow(tenant: string, now: number): boolean {
     const share = this.shareOf(tenant, now);
     const demand = demandOf(share, now);
-    return !isSparse(demand) && share.bucket.level(now) < Math.max(1, demand * LOW_S);
+    return !isSparse(demand) && share.bucket.level(now) < Math.max(1, demand * LOW_BUCKET_S);
   }
 
-  /** Whether the tenant asks for more than its limit, as the leader last said. */
+  /** Whether the leader has reported that no token is available yet. */
   isScarce(tenant: string, now: number): boolean {
     const share = this.shares.get(tenant);
     return share !== undefined && now < share.scarceUntil;
   }
 
-  /** Whether calls wait for tokens. */
   get isAnyWaiting(): boolean {
     return [...this.shares.values()].some(({ waiting }) => waiting > 0);
   }
 
-  /** Whether shares may be used at all: they are given for a time. */
+  /** Whether the lease of the shares is still valid. */
   isLeased(now: number): boolean {
     return now < this.leaseEndsAt;
   }
 
   /**
-   * When a caller that is refused had better come back, in milliseconds: each is told a token of its own, so that
-   * callers come back at the rate at which tokens do.
+   * Retry delay of a rejected caller, in milliseconds. Successive callers get successive tokens' times, so that they
+   * return at the refill rate.
    */
   retryAfterMs(tenant: string, now: number): number {
     const share = this.shareOf(tenant, now);
     const { ratePerSecond } = share.bucket.share;
-    const gapMs = ratePerSecond > 0 ? MS_PER_SECOND / ratePerSecond : LATEST_RETURN_MS;
-    const soonest = now + SOONEST_RETURN_MS;
-    const promised = Math.max(soonest, share.promisedAt + gapMs);
-    share.promisedAt = Math.min(promised, now + LATEST_RETURN_MS);
-    return share.promisedAt - now;
+    const tokenIntervalMs = ratePerSecond > 0 ? MS_PER_SECOND / ratePerSecond : MAXIMUM_RETRY_MS;
+    const earliest = now + MINIMUM_RETRY_MS;
+    const retryAt = Math.max(earliest, share.lastRetryAt + tokenIntervalMs);
+    share.lastRetryAt = Math.min(retryAt, now + MAXIMUM_RETRY_MS);
+    return share.lastRetryAt - now;
   }
 
-  /** What is held of a tenant's limit and asked of it here, for the log of a refusal. */
+  /** Share and demand of a tenant, for the log line of a rejected call. */
   describe(tenant: string, now: number): LogFields {
     const share = this.shareOf(tenant, now);
     return {
@@ -117,30 +117,30 @@
     };
   }
 
-  /** All that is held, for the leader; what is hardly used is given back. */
+  /** All shares held, for a full request; shares that are hardly used are released. */
   held(now: number): HeldShare[] {
     if (!this.isLeased(now)) this.dropShares(now);
     for (const [tenant, share] of this.shares) {
-      const isUsed = demandOf(share, now) >= LEAST_DEMAND_PER_SECOND || share.waiting > 0;
+      const isUsed = demandOf(share, now) >= MINIMUM_DEMAND_PER_SECOND || share.waiting > 0;
       if (!isUsed) this.shares.delete(tenant);
     }
     return [...this.shares].map(([tenant, share]) => heldOf(tenant, share, now));
   }
 
-  /** What is held of those tenants whose calls wait, or will soon: all that a question between two regular ones names. */
+  /** The shares of tenants that are low on tokens or have waiting calls, for a partial request. */
   heldByLowTenants(now: number): HeldShare[] {
-    const short = [...this.shares].filter(
+    const low = [...this.shares].filter(
       ([tenant, { waiting }]) => waiting > 0 || this.isLow(tenant, now),
     );
-    return short.map(([tenant, share]) => heldOf(tenant, share, now));
+    return low.map(([tenant, share]) => heldOf(tenant, share, now));
   }
 
-  /** @param leaseEndsAt when the shares are over (monotonic, milliseconds) */
+  /** @param leaseEndsAt when the shares expire (monotonic, milliseconds) */
   applyGrants(granted: readonly GrantedShare[], leaseEndsAt: number, now: number): void {
     this.leaseEndsAt = Math.max(this.leaseEndsAt, leaseEndsAt);
     for (const grant of granted) {
       const { tenant, ratePerSecond, capacity, tokens, scarceForMs, pressure } = grant;
-      // What was given back meanwhile is not taken up: the leader was told that it is not held.
+      // A share released in the meantime is ignored: the leader knows that it is not held.
       const share = this.shares.get(tenant);
       if (!share) continue;
       share.bucket.reshape({ ratePerSecond, capacity }, now);
@@ -150,7 +150,7 @@
     }
   }
 
-  /** A limit was lowered: what is held of it is lowered at once. @param factor of the limit before, below 1 */
+  /** Scales a share down after its limit was lowered. @param factor below 1 */
   scaleDown(tenant: string, factor: number, now: number): void {
     const share = this.shares.get(tenant);
     if (!share) return;
@@ -160,20 +160,20 @@
   }
 
   private dropShares(now: number): void {
-    for (const share of this.shares.values()) share.bucket.reshape(NO_SHARE, now);
+    for (const share of this.shares.values()) share.bucket.reshape(EMPTY_SHARE, now);
   }
 
   private shareOf(tenant: string, now: number): GatewayShare {
     const known = this.shares.get(tenant);
     if (known) return known;
     const share: GatewayShare = {
-      bucket: new TokenBucket(NO_SHARE, now),
+      bucket: new TokenBucket(EMPTY_SHARE, now),
       recentCalls: 0,
       recentAt: now,
       waiting: 0,
       scarceUntil: 0,
       pressure: 0,
-      promisedAt: 0,
+      lastRetryAt: 0,
     };
     this.shares.set(tenant, share);
     return share;
@@ -189,20 +189,19 @@
 
 function reserveOf({ pressure, bucket }: GatewayShare, beginsProgram: boolean): number {
   if (!beginsProgram || pressure <= 1) return 0;
-  return bucket.share.capacity * BEGUN_PROGRAMS_SHARE;
+  return bucket.share.capacity * RUNNING_PROGRAMS_RESERVE;
 }
 
 function round(value: number): number {
   return Math.round(value * 100) / 100;
 }
 
-/** Calls a second that a tenant asks for here. */
+/** A tenant's demand at this gateway, in calls per second. */
 function demandOf(share: GatewayShare, now: number): number {
-  return decayed(share, now) / DEMAND_WINDOW_S;
+  return recentCallsAt(share, now) / DEMAND_WINDOW_S;
 }
 
-/** Calls of the last seconds, as of now. */
-function decayed({ recentCalls, recentAt }: GatewayShare, now: number): number {
+function recentCallsAt({ recentCalls, recentAt }: GatewayShare, now: number): number {
   const elapsedS = Math.max(0, now - recentAt) / MS_PER_SECOND;
   return recentCalls * Math.exp(-elapsedS / DEMAND_WINDOW_S);
 }
--- a/src/quotas/index.ts
+++ b/src/quotas/index.ts
@@ -1,6 +1,6 @@
 /**
- * Limits of tenants that hold for all gateways together: the leader's board of shares, and the gateways' buckets.
- * docs/design/quotas.md has the bound and why it holds.
+ * Distributed rate limiting of tenants: the leader leases shares of each tenant's limit to the gateways, which
+ * enforce them with token buckets. docs/design/quotas.md states the bound and why it holds.
  */
 export { GatewayQuotas, type GatewayQuotasOptions, type QuotaDecision } from './gateway-quotas.js';
 export type { QuotaTolerance } from './quota-budget.js';
--- a/src/quotas/messages.ts
+++ b/src/quotas/messages.ts
@@ -1,50 +1,50 @@
-/** What gateways and the directory's leader say to each other about shares of limits. */
+/** Messages between gateways and the directory's leader about quota shares. */
 import type { LeaderAnswer } from '../consensus/index.js';
 import { defineMethod } from '../wire/index.js';
 import type { QuotaShare } from './quota-budget.js';
 
-/** What a gateway holds of one tenant's limit, and needs. */
+/** The share of one tenant's limit that a gateway holds, and its demand. */
 export interface HeldShare extends QuotaShare {
   tenant: string;
-  /** Tokens in its bucket. */
+  /** Tokens in the gateway's bucket. */
   level: number;
-  /** Calls that come here, refused ones too. */
+  /** Calls per second that arrive at the gateway, including rejected ones. */
   demandPerSecond: number;
-  /** Calls that wait for a token now. */
+  /** Calls currently waiting for a token. */
   waiting: number;
 }
 
 export interface SharesRequest {
   gateway: string;
-  /** Chosen at each start of the gateway's process. */
+  /** Random id of the gateway's process. */
   incarnation: string;
-  /** Rises with each question of an incarnation, which has one open at a time. */
+  /** Increases with each request of an incarnation, which has at most one request in flight. */
   sequence: number;
   held: HeldShare[];
-  /** Whether what isn't named is held as before; else nothing of it is held. */
+  /** Whether shares not listed in `held` are unchanged; otherwise they are no longer held. */
   isPartial: boolean;
 }
 
-/** What a gateway holds from now on. */
+/** The share that a gateway holds from now on. */
 export interface GrantedShare extends QuotaShare {
   tenant: string;
-  /** Tokens to be added to its bucket. */
+  /** Tokens to add to the gateway's bucket. */
   tokens: number;
   /**
-   * Until the next token is there, in milliseconds, where the tenant asks for more than its limit and its burst is used
-   * up; 0 where tokens are left.
+   * Time until the next token is available, in milliseconds, if the tenant exceeds its limit and has used up its
+   * burst; 0 if tokens are left.
    */
   scarceForMs: number;
-  /** What the tenant asks for, as a multiple of its limit. */
+  /** The tenant's total demand as a multiple of its limit. */
   pressure: number;
 }
 
 export interface SharesResponse {
-  /** Of the leader that answers; an answer of an earlier term counts for nothing. */
+  /** Term of the responding leader; responses of earlier terms are ignored. */
   term: number;
-  /** Time since a majority last stood behind that leader, in milliseconds. */
+  /** Time since a majority last confirmed the leader, in milliseconds. */
   confirmedAgeMs: number;
-  /** Absent where the leader has to be told all that the gateway holds first; nothing is renewed then. */
+  /** Absent if the leader needs a full report of the gateway's shares first; no lease is renewed then. */
   shares?: GrantedShare[];
 }
 
--- a/src/quotas/quota-budget.ts
+++ b/src/quotas/quota-budget.ts
@@ -1,45 +1,43 @@
 /**
- * What all gateways together may let pass for one tenant. In every span of `windowMs` no more calls run than
- * (rate x window + burst) x (1 + over) + slack. Whoever holds a share of the budget lets pass, in any span, no more
- * than its capacity and its rate times the span; so shares that never sum to more than the budget keep the bound, in
- * windows of every length, however they are moved, as long as no tokens are made by moving them.
+ * The budget of one tenant over all gateways. In every window of `windowMs` at most
+ * (rate x window + burst) x (1 + over) + slack calls run. A holder of a share admits at most capacity + rate x window
+ * calls in any window. The bound therefore holds as long as the shares never sum to more than the budget and moving
+ * shares creates no tokens.
  */
 
-/** A part of a tenant's limit: a bucket of so many tokens that fills at a rate. */
+/** A share of a tenant's limit, as parameters of a token bucket. */
 export interface QuotaShare {
-  /** Tokens a second. */
+  /** Refill rate in tokens per second. */
   ratePerSecond: number;
-  /** Most tokens that it holds. */
+  /** Maximum number of tokens. */
   capacity: number;
 }
 
-/** What a tenant may ask for. */
 export interface TenantLimit {
-  /** Calls a second; 0 for no limit. */
+  /** Calls per second; 0 for no limit. */
   ratePerSecond: number;
-  /** Calls beyond the rate that may come at once. */
+  /** Calls beyond the rate that may arrive at once. */
   burst: number;
 }
 
-/** How far above its limit a tenant may be at worst, as the deployment sets it. */
+/** Configured upper bound on how far a tenant may exceed its limit. */
 export interface QuotaTolerance {
-  /** Share of the limit. */
+  /** Fraction of the limit. */
   over: number;
-  /** Calls in each window. */
+  /** Additional calls per window. */
   slack: number;
-  /** The window that the slack is for, in milliseconds. */
+  /** Length of the window, in milliseconds. */
   windowMs: number;
 }
 
-/** Share of the tolerance that is handed out; the rest covers sends that are repeated after a broken answer. */
-const TOLERANCE_IN_USE = 0.9;
+/** Fraction of the tolerance that is handed out; the rest covers retries after failed responses. */
+const USED_TOLERANCE_FRACTION = 0.9;
 
 /**
- * Part of the slack that comes as rate. All of it as burst lets a small tenant's two programs begin at once and then
- * starves them: of calls of programs at a mean of 6 a second, 5.1 % were refused with none, 4.0 % with half, 2.6 % by a
- * sliding window without any bucket (simulated arrivals, limit 1.6 times the mean).
+ * Fraction of the slack granted as rate. Granting all of it as burst lets a small tenant start several programs at once
+ * that then run out of tokens.
  */
-const SLACK_AS_RATE = 0.5;
+const SLACK_RATE_FRACTION = 0.5;
 const MS_PER_SECOND = 1_000;
 
 export function isLimited(limit: TenantLimit): boolean {
@@ -50,11 +48,11 @@
   { ratePerSecond, burst }: TenantLimit,
   tolerance: QuotaTolerance,
 ): QuotaShare {
-  const factor = 1 + tolerance.over * TOLERANCE_IN_USE;
-  const slack = tolerance.slack * TOLERANCE_IN_USE;
-  const slackRate = (slack * SLACK_AS_RATE * MS_PER_SECOND) / tolerance.windowMs;
+  const factor = 1 + tolerance.over * USED_TOLERANCE_FRACTION;
+  const slack = tolerance.slack * USED_TOLERANCE_FRACTION;
+  const slackRate = (slack * SLACK_RATE_FRACTION * MS_PER_SECOND) / tolerance.windowMs;
   return {
     ratePerSecond: ratePerSecond * factor + slackRate,
-    capacity: Math.max(1, burst * factor + slack * (1 - SLACK_AS_RATE)),
+    capacity: Math.max(1, burst * factor + slack * (1 - SLACK_RATE_FRACTION)),
   };
 }
--- a/src/quotas/quota-leader.test.ts
+++ b/src/quotas/quota-leader.test.ts
@@ -1,4 +1,4 @@
-/** What the directory's leader commits before it gives shares, and what a new leader gives. */
+/** What the leader commits before it grants shares, and what a new leader grants. */
 import { beforeEach, describe, expect, it } from 'vitest';
 import { sleep } from '../common/index.js';
 import type { LeaderAnswer, ReplicatedGroup } from '../consensus/index.js';
@@ -8,7 +8,7 @@
 
 const LIMIT = { name: 'office', ratePerSecond: 100, burst: 100 };
 const COMMIT_MS = 20;
-/** More than pools of a new leader wait, and than commits gather. */
+/** Longer than the overlap of leaders and the batching of commits. */
 const SETTLED_MS = 450;
 
 type Handler = (request: SharesRequest) => Promise<LeaderAnswer<SharesResponse>>;
@@ -57,15 +57,15 @@
   return { tenant: 'office', ...nothing, demandPerSecond: 50, waiting: 0, ...overrides };
 }
 
-describe('the leader of limits', () => {
-  it('commits a gateway before it answers it, those that come together at once', async () => {
+describe('quota leader', () => {
+  it('commits gateways before it responds, concurrent ones in a batch', async () => {
     const answers = ['g1', 'g2', 'g3'].map((gateway) => ask({ gateway }));
     await Promise.all(answers);
     expect(committed.gateways).toEqual(new Set(['g1', 'g2', 'g3']));
     expect(commits).toBeLessThanOrEqual(2);
   });
 
-  it('gives a rate only once it is committed that rates of the limit may be out', async () => {
+  it('grants a rate only after the tenant is committed as shared', async () => {
     const first = await ask({ held: [held()] });
     expect(first.shares?.[0]?.ratePerSecond).toBe(0);
     await sleep(SETTLED_MS);
@@ -74,12 +74,12 @@
     expect(second.shares?.[0]?.ratePerSecond).toBeGreaterThan(0);
   });
 
-  it('asks a gateway that it does not know for all that it holds, and renews nothing', async () => {
+  it('requests a full report from an unknown gateway and renews nothing', async () => {
     const partial = await ask({ isPartial: true, held: [held({ waiting: 3 })] });
     expect(partial.shares).toBeUndefined();
   });
 
-  it('gives nothing of a shared limit in a new term until all that may hold shares have spoken', async () => {
+  it('grants nothing of a shared tenant in a new term until all possible holders have reported', async () => {
     committed = { gateways: new Set(['g1', 'g2']), tenants: new Set(['office']) };
     group.term = 2;
     await ask({ held: [] });
@@ -94,7 +94,7 @@
     expect(after.shares?.[0]?.ratePerSecond).toBeLessThanOrEqual(20);
   });
 
-  it('gives of a limit of which no rate may be out at once in a new term', async () => {
+  it('grants tokens of a tenant that is not shared immediately in a new term', async () => {
     committed = { gateways: new Set(['g1', 'g2']), tenants: new Set() };
     group.term = 2;
     await ask({ held: [] });
--- a/src/quotas/quota-leader.ts
+++ b/src/quotas/quota-leader.ts
@@ -1,4 +1,4 @@
-/** The directory leader's side of limits: keeps the board of shares and answers gateways. */
+/** Leader side of the quotas: allocates shares and answers the gateways' requests. */
 import { monotonicMs, sleep } from '../common/index.js';
 import { type ReplicatedGroup, answerAsLeader } from '../consensus/index.js';
 import type { MethodRouter } from '../wire/index.js';
@@ -6,17 +6,18 @@
 import type { QuotaTolerance } from './quota-budget.js';
 import { type NamedLimit, ShareRegistry } from './share-registry.js';
 
-/** Shares hold for so long after the answer that gave them, in milliseconds. */
+/** Duration of the lease of granted shares, in milliseconds. */
 export const SHARE_LEASE_MS = 3_500;
 /**
- * Answers of a leader that no majority has answered for so long are not taken, in milliseconds: the time after which it
- * steps down. A later leader gives nothing of what it doesn't know for as long.
+ * Time after which a leader without contact to a majority steps down, in milliseconds. Gateways ignore responses of a
+ * leader that was not confirmed for longer, and a new leader grants no tokens that its predecessor may still grant
+ * within this time.
  */
 export const LEADER_OVERLAP_MS = 300;
-/** Tenants that come to be shared within this time are committed together, in milliseconds. */
-const GATHER_MS = 100;
+/** Newly shared tenants within this time are committed as one batch, in milliseconds. */
+const BATCH_DELAY_MS = 100;
 
-/** Gateways that may hold shares, and tenants of whose limits they may hold rates. */
+/** The committed set of gateways that may hold shares, and of tenants whose rates they may hold. */
 export interface CommittedShares {
   gateways: ReadonlySet<string>;
   tenants: ReadonlySet<string>;
@@ -24,29 +25,28 @@
 
 export interface QuotaLeaderOptions {
   tolerance: QuotaTolerance;
-  /** What the configuration in force says, and what tells whether it has changed. */
   limits: () => readonly NamedLimit[];
+  /** Changes whenever `limits` changes. */
   limitsVersion: () => number;
-  /** What may be out, as the group has committed it. */
   outstandingShares: () => CommittedShares;
   commitShares: (out: { gateways: string[]; tenants: string[] }) => Promise<void>;
 }
 
 export class QuotaLeader {
-  private readonly board: ShareRegistry;
+  private readonly registry: ShareRegistry;
   private knownTerm = -1;
   private knownVersion = -1;
   private committing: Promise<void> | undefined;
-  private isGathering = false;
+  private isBatching = false;
   private readonly newGateways = new Set<string>();
-  /** When names were committed that this leader may not have heard since (monotonic, milliseconds). */
+  /** When names were committed that this leader may not have heard of since (monotonic, milliseconds). */
   private readonly committedAt = new Map<string, number>();
 
   constructor(
     private readonly options: QuotaLeaderOptions,
     private readonly findGroup: () => ReplicatedGroup | undefined,
   ) {
-    this.board = new ShareRegistry({
+    this.registry = new ShareRegistry({
       tolerance: options.tolerance,
       leaseMs: SHARE_LEASE_MS,
       overlapMs: LEADER_OVERLAP_MS,
@@ -56,11 +56,11 @@
 
   register(router: MethodRouter): void {
     router.handle(QUOTA_SHARES, (request) =>
-      answerAsLeader(this.findGroup(), (group) => this.answer(group, request)),
+      answerAsLeader(this.findGroup(), (group) => this.handle(group, request)),
     );
   }
 
-  private async answer(group: ReplicatedGroup, request: SharesRequest): Promise<SharesResponse> {
+  private async handle(group: ReplicatedGroup, request: SharesRequest): Promise<SharesResponse> {
     this.refresh(group);
     const { gateway } = request;
     while (!this.options.outstandingShares().gateways.has(gateway)) {
@@ -69,52 +69,52 @@
     }
     this.refresh(group);
     const now = monotonicMs();
-    const shares = this.board.report(request, now);
-    if (this.board.hasPendingTenants) this.commitSoon();
+    const shares = this.registry.report(request, now);
+    if (this.registry.hasPendingTenants) this.commitSoon();
     return { term: group.term, confirmedAgeMs: now - group.quorumContactMs(), shares };
   }
 
-  /** What an earlier term's leader knew counts for nothing; limits are read where the configuration is new. */
+  /** Resets the registry in a new term and reloads the limits if the configuration has changed. */
   private refresh(group: ReplicatedGroup): void {
     const now = monotonicMs();
     if (group.term !== this.knownTerm) {
       this.knownTerm = group.term;
       this.knownVersion = -1;
       this.committedAt.clear();
-      this.board.begin(this.options.outstandingShares(), now);
+      this.registry.begin(this.options.outstandingShares(), now);
     }
     const version = this.options.limitsVersion();
     if (version === this.knownVersion) return;
     this.knownVersion = version;
-    this.board.setLimits(this.options.limits(), now);
+    this.registry.setLimits(this.options.limits(), now);
   }
 
-  /** Rates are given once it is committed that they may be out; until then gateways ask for each call. */
+  /** Rates are granted only once the tenant is committed as shared; until then gateways request a token per call. */
   private commitSoon(): void {
-    if (this.isGathering) return;
-    this.isGathering = true;
-    void this.commitGathered().catch(() => {
-      // A leader that has lost its lead commits nothing; the next question asks for it again.
+    if (this.isBatching) return;
+    this.isBatching = true;
+    void this.commitBatch().catch(() => {
+      // The commit fails if leadership was lost; the next request triggers it again.
     });
   }
 
-  private async commitGathered(): Promise<void> {
-    await sleep(GATHER_MS);
-    this.isGathering = false;
+  private async commitBatch(): Promise<void> {
+    await sleep(BATCH_DELAY_MS);
+    this.isBatching = false;
     await this.commit();
   }
 
-  /** What comes while a commit is under way is committed together after it. */
+  /** Names that arrive during a commit are batched into the next one. */
   private commit(): Promise<void> {
-    this.committing ??= this.commitAll().finally(() => {
+    this.committing ??= this.commitPending().finally(() => {
       this.committing = undefined;
     });
     return this.committing;
   }
 
-  private async commitAll(): Promise<void> {
+  private async commitPending(): Promise<void> {
     const newGateways = [...this.newGateways];
-    const newTenants = this.board.takePendingTenants();
+    const newTenants = this.registry.takePendingTenants();
     this.newGateways.clear();
     const gateways = [...new Set([...this.gatewaysInUse(), ...newGateways])];
     const tenants = [...new Set([...this.tenantsInUse(), ...newTenants])];
@@ -122,17 +122,17 @@
     for (const name of [...newGateways, ...newTenants]) this.committedAt.set(name, monotonicMs());
   }
 
-  /** Those that are committed, without those whose leases are over. */
+  /** Committed gateways whose leases have not expired. */
   private gatewaysInUse(): string[] {
-    const heard = new Set(this.board.holders(monotonicMs()));
+    const holders = new Set(this.registry.holders(monotonicMs()));
     const { gateways } = this.options.outstandingShares();
-    return [...gateways].filter((name) => heard.has(name) || this.isNew(name));
+    return [...gateways].filter((name) => holders.has(name) || this.isNew(name));
   }
 
-  /** Those that are committed, without those of whose limits nobody holds a rate. */
+  /** Committed tenants with a rate held by any gateway. */
   private tenantsInUse(): string[] {
     const { tenants } = this.options.outstandingShares();
-    return [...tenants].filter((name) => this.board.isShared(name) || this.isNew(name));
+    return [...tenants].filter((name) => this.registry.isShared(name) || this.isNew(name));
   }
 
   private isNew(name: string): boolean {
--- a/src/quotas/quotas.test.ts
+++ b/src/quotas/quotas.test.ts
@@ -1,6 +1,6 @@
 /**
- * Limits that hold for all gateways together, on simulated time. The bound: in no window do more calls pass than
- * the limit allows, whatever is lost, cut off, started again or lowered meanwhile.
+ * Simulation of the distributed limits. Invariant: in no window are more calls admitted than the limit allows, despite
+ * lost or partitioned gateways, leader changes and lowered limits.
  */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
@@ -14,11 +14,11 @@
 import { runPrograms } from '../../tests/support/program-simulation.js';
 
 const GATEWAYS = 6;
-const LENGTH_MS = 20_000;
-/** A lowered limit binds the calls from so long after the change on. */
+const DURATION_MS = 20_000;
+/** Time until a lowered limit is in force, in milliseconds. */
 const IN_FORCE_MS = 2_500;
 
-const at = fc.integer({ min: 1_000, max: LENGTH_MS - 4_000 });
+const at = fc.integer({ min: 1_000, max: DURATION_MS - 4_000 });
 const gateway = fc.integer({ min: 0, max: GATEWAYS - 1 });
 const forMs = fc.integer({ min: 100, max: 6_000 });
 const event: fc.Arbitrary<SimulatedEvent> = fc.oneof(
@@ -48,12 +48,12 @@
   },
 ];
 
-describe('limits of all gateways together', () => {
-  it('are kept in every window, whatever is lost, cut off or replaced', () => {
+describe('distributed limits', () => {
+  it('hold in every window despite lost or partitioned gateways and leader changes', () => {
     const events = fc.array(event, { maxLength: 12 });
     fc.assert(
       fc.property(events, fc.integer(), (drawn, seed) => {
-        const options = { gateways: GATEWAYS, tenants, events: drawn, lengthMs: LENGTH_MS, seed };
+        const options = { gateways: GATEWAYS, tenants, events: drawn, lengthMs: DURATION_MS, seed };
         const simulation = new QuotaSimulation(options);
         simulation.run();
         for (const [index, { passedAt }] of simulation.outcomes.entries()) {
@@ -65,14 +65,14 @@
     );
   });
 
-  it('are kept when one is lowered in the middle', () => {
+  it('hold after a limit was lowered', () => {
     for (const factor of [0.5, 0.1]) {
       const loweredAt = 8_000;
       const events: SimulatedEvent[] = [
         { kind: 'lower-limit', at: loweredAt, tenant: 0, factor },
         { kind: 'change-leader', at: 9_000, withoutMs: 600, overlapMs: 300 },
       ];
-      const options = { gateways: GATEWAYS, tenants, events, lengthMs: LENGTH_MS, seed: 5 };
+      const options = { gateways: GATEWAYS, tenants, events, lengthMs: DURATION_MS, seed: 5 };
       const simulation = new QuotaSimulation(options);
       simulation.run();
       const { ratePerSecond, burst } = tenants[0]!.limit;
@@ -87,33 +87,32 @@
 
 const WARM_UP_MS = 2_000;
 
-/** Tenants as in the field: a few are large, and the callers of all come through any of many gateways. */
+/** A few large tenants and many small ones, each with callers at all gateways. */
 function manyTenants(load: number): SimulatedTenant[] {
   return Array.from({ length: 30 }, (_, index) => {
     const isLarge = index < 3;
     const ratePerSecond = isLarge ? 200 : 8;
-    const gateways = [...Array(GATEWAYS_OF_MANY).keys()];
+    const gateways = [...Array(MANY_GATEWAYS).keys()];
     return {
       name: `tenant-${index}`,
       limit: { ratePerSecond, burst: ratePerSecond },
-      // Buckets fill before the first callers come.
+      // Buckets fill up before the first calls.
       load: (now) => (now < WARM_UP_MS ? 0 : load),
       gateways,
     };
   });
 }
 
-const GATEWAYS_OF_MANY = 40;
-/** Gateways that are lost for a while. */
-const LOST = [0, 7, 14, 21];
-/** For so long callers come, and so long shares of a lost gateway stay taken. */
+const MANY_GATEWAYS = 40;
+/** Gateways that fail temporarily. */
+const FAILED_GATEWAYS = [0, 7, 14, 21];
 const LOADED_MS = 16_000;
 const LEASE_MS = 3_500;
 const ALL_IN_POOL = 0;
 const ALL_HANDED_OUT = 100;
 
-const LOSSES: SimulatedEvent[] = [
-  ...LOST.map((index): SimulatedEvent => ({
+const FAILURES: SimulatedEvent[] = [
+  ...FAILED_GATEWAYS.map((index): SimulatedEvent => ({
     kind: 'kill-gateway',
     at: 6_000,
     gateway: index,
@@ -128,15 +127,15 @@
   { kind: 'cut-gateway', at: 12_000, gateway: 3, forMs: 3_000 },
 ];
 
-function refusedInside(
+function rejectedWithinLimit(
   load: number,
   headroom?: number,
-): { refused: number; asksPerSecond: number } {
+): { refused: number; requestsPerSecond: number } {
   const all = manyTenants(load);
   const simulation = new QuotaSimulation({
-    gateways: GATEWAYS_OF_MANY,
+    gateways: MANY_GATEWAYS,
     tenants: all,
-    events: LOSSES,
+    events: FAILURES,
     lengthMs: WARM_UP_MS + LOADED_MS,
     seed: 9,
     headroom,
@@ -150,39 +149,39 @@
   }
   return {
     refused: missing / owed,
-    asksPerSecond: simulation.asks / ((WARM_UP_MS + LOADED_MS) / 1_000),
+    requestsPerSecond: simulation.asks / ((WARM_UP_MS + LOADED_MS) / 1_000),
   };
 }
 
-describe('what is refused inside the limit', () => {
-  it.each([0.62, 2])('is under one in fifty beside losses, at %s times the limit', (load) => {
-    expect(refusedInside(load).refused).toBeLessThan(0.02);
+describe('rejections within the limit', () => {
+  it.each([0.62, 2])('are below 2 % despite failures, at %s times the limit', (load) => {
+    expect(rejectedWithinLimit(load).refused).toBeLessThan(0.02);
   });
 
-  it('is no more than what lost gateways hold until their leases are over, at just the limit', () => {
-    const heldByLost = (LOST.length / GATEWAYS_OF_MANY) * (LEASE_MS / LOADED_MS);
-    expect(refusedInside(1).refused).toBeLessThan(0.02 + heldByLost);
+  it('are bounded by the leased shares of failed gateways, exactly at the limit', () => {
+    const heldByFailed = (FAILED_GATEWAYS.length / MANY_GATEWAYS) * (LEASE_MS / LOADED_MS);
+    expect(rejectedWithinLimit(1).refused).toBeLessThan(0.02 + heldByFailed);
   });
 
-  it('is less than with all in the pool, and than with all handed out', () => {
+  it('are fewer than with everything in the pool or everything handed out', () => {
     const load = 0.62;
-    const mixed = refusedInside(load).refused;
-    expect(mixed).toBeLessThan(refusedInside(load, ALL_IN_POOL).refused);
-    expect(mixed).toBeLessThan(refusedInside(load, ALL_HANDED_OUT).refused);
+    const mixed = rejectedWithinLimit(load).refused;
+    expect(mixed).toBeLessThan(rejectedWithinLimit(load, ALL_IN_POOL).refused);
+    expect(mixed).toBeLessThan(rejectedWithinLimit(load, ALL_HANDED_OUT).refused);
   });
 });
 
-/** Programs of several calls, of which one that is refused for good ends them. */
-describe('a tenant that begins more programs than its limit bears', () => {
+/** Programs consist of several calls; a program fails when one of its calls is rejected permanently. */
+describe('a tenant that starts more programs than its limit allows', () => {
   it.each([1.2, 2, 4])(
-    'ends at least three in four of those that it bears, at %s times the limit',
+    'completes at least 75 % of the sustainable programs, at %s times the limit',
     (load) => {
       const { ended, bearable } = runPrograms(load);
       expect(ended / bearable).toBeGreaterThan(0.75);
     },
   );
 
-  it('ends more of them than where calls are taken as they come', () => {
+  it('completes more programs than with first come, first served', () => {
     const load = 2;
     expect(runPrograms(load).ended).toBeGreaterThan(runPrograms(load, false).ended);
   });
--- a/src/quotas/share-registry.test.ts
+++ b/src/quotas/share-registry.test.ts
@@ -1,4 +1,4 @@
-/** What a new leader's board gives, and what a gateway's shares are good for, one step at a time. */
+/** What a new leader grants, and how a gateway uses its shares, step by step. */
 import { describe, expect, it } from 'vitest';
 import { GatewayShares } from './gateway-shares.js';
 import type { GrantedShare, HeldShare } from './messages.js';
@@ -8,61 +8,61 @@
 const OVERLAP_MS = 300;
 const LIMIT = { name: 'office', ratePerSecond: 100, burst: 100 };
 
-function boardOf(tenants: string[], gateways = ['g1', 'g2']): ShareRegistry {
-  const board = new ShareRegistry({
+function registryOf(tenants: string[], gateways = ['g1', 'g2']): ShareRegistry {
+  const registry = new ShareRegistry({
     tolerance: { over: 0, slack: 0, windowMs: 5_000 },
     leaseMs: LEASE_MS,
     overlapMs: OVERLAP_MS,
     mayShare: (tenant) => tenants.includes(tenant),
   });
-  board.begin({ gateways, tenants }, 0);
-  board.setLimits([LIMIT], 0);
-  return board;
+  registry.begin({ gateways, tenants }, 0);
+  registry.setLimits([LIMIT], 0);
+  return registry;
 }
 
-function heldBy(overrides: Partial<HeldShare> = {}): HeldShare {
+function heldShare(overrides: Partial<HeldShare> = {}): HeldShare {
   const nothing = { ratePerSecond: 0, capacity: 0, level: 0, demandPerSecond: 0.5, waiting: 0 };
   return { tenant: 'office', ...nothing, ...overrides };
 }
 
-describe('the board of a new leader', () => {
+describe('share registry of a new leader', () => {
   function ask(
-    board: ShareRegistry,
+    registry: ShareRegistry,
     gateway: string,
     sequence: number,
     held: HeldShare[],
     now: number,
   ) {
     const request = { gateway, incarnation: '1', sequence, held, isPartial: false };
-    return board.report(request, now)!;
+    return registry.report(request, now)!;
   }
 
-  it('gives nothing while the leader before may still answer', () => {
-    const board = boardOf([]);
-    const waiting = [heldBy({ waiting: 50 })];
-    expect(ask(board, 'g1', 1, waiting, OVERLAP_MS - 1)[0]!.tokens).toBe(0);
-    expect(ask(board, 'g1', 2, waiting, OVERLAP_MS + 100)[0]!.tokens).toBe(10);
+  it('grants nothing while the previous leader may still respond', () => {
+    const registry = registryOf([]);
+    const waiting = [heldShare({ waiting: 50 })];
+    expect(ask(registry, 'g1', 1, waiting, OVERLAP_MS - 1)[0]!.tokens).toBe(0);
+    expect(ask(registry, 'g1', 2, waiting, OVERLAP_MS + 100)[0]!.tokens).toBe(10);
   });
 
-  it('does not give what filled while gateways that had not spoken filled it as well', () => {
-    const board = boardOf(['office']);
-    ask(board, 'g1', 1, [heldBy()], 1_000);
-    ask(board, 'g2', 1, [heldBy()], 3_000);
-    const waiting = [heldBy({ waiting: 90 })];
-    expect(ask(board, 'g1', 2, waiting, 3_100)[0]!.tokens).toBe(10);
+  it('does not grant tokens that unreported gateways may have refilled as well', () => {
+    const registry = registryOf(['office']);
+    ask(registry, 'g1', 1, [heldShare()], 1_000);
+    ask(registry, 'g2', 1, [heldShare()], 3_000);
+    const waiting = [heldShare({ waiting: 90 })];
+    expect(ask(registry, 'g1', 2, waiting, 3_100)[0]!.tokens).toBe(10);
   });
 
-  it('counts what was offered until the gateway has said what it holds', () => {
-    const board = boardOf(['office'], []);
-    const busy = heldBy({ demandPerSecond: 100 });
-    const first = ask(board, 'g1', 1, [busy], 2_000)[0]!;
+  it('counts granted shares as held until the gateway reports', () => {
+    const registry = registryOf(['office'], []);
+    const busy = heldShare({ demandPerSecond: 100 });
+    const first = ask(registry, 'g1', 1, [busy], 2_000)[0]!;
     expect(first.ratePerSecond).toBeGreaterThan(90);
-    const second = ask(board, 'g2', 1, [busy], 2_010)[0]!;
+    const second = ask(registry, 'g2', 1, [busy], 2_010)[0]!;
     expect(first.ratePerSecond + second.ratePerSecond).toBeLessThanOrEqual(100);
   });
 });
 
-describe('the shares of a gateway', () => {
+describe('gateway shares', () => {
   const granted: GrantedShare = {
     tenant: 'office',
     ratePerSecond: 10,
@@ -72,7 +72,7 @@
     pressure: 0,
   };
 
-  it('let nothing pass past their lease, and are no longer held after it', () => {
+  it('admit nothing after the lease and are no longer held', () => {
     const shares = new GatewayShares();
     shares.noteCall('office', 0);
     shares.applyGrants([granted], LEASE_MS, 0);
@@ -81,16 +81,16 @@
     expect(shares.held(LEASE_MS)[0]).toMatchObject({ ratePerSecond: 0, capacity: 0, level: 0 });
   });
 
-  it('shrink with a limit that was lowered, tokens and all', () => {
+  it('scale down with a lowered limit, including tokens', () => {
     const shares = new GatewayShares();
     shares.noteCall('office', 0);
     shares.applyGrants([{ ...granted, tokens: 10 }], LEASE_MS, 0);
     shares.scaleDown('office', 0.2, 0);
-    const passed = Array.from({ length: 10 }, () => shares.take('office', false, 0));
-    expect(passed.filter(Boolean)).toHaveLength(2);
+    const admitted = Array.from({ length: 10 }, () => shares.take('office', false, 0));
+    expect(admitted.filter(Boolean)).toHaveLength(2);
   });
 
-  it('keep a part for begun programs where the tenant asks for more than its limit', () => {
+  it('reserve tokens for running programs while the tenant exceeds its limit', () => {
     const shares = new GatewayShares();
     shares.noteCall('office', 0);
     shares.applyGrants([{ ...granted, pressure: 1.2 }], LEASE_MS, 0);
@@ -98,7 +98,7 @@
     expect(shares.take('office', false, 0)).toBe(true);
   });
 
-  it('tell refused callers to come back one token apart', () => {
+  it('space the retries of rejected callers by the token interval', () => {
     const shares = new GatewayShares();
     shares.noteCall('office', 0);
     shares.applyGrants([{ ...granted, tokens: 0 }], LEASE_MS, 0);
--- a/src/quotas/share-registry.ts
+++ b/src/quotas/share-registry.ts
@@ -1,11 +1,11 @@
 /**
- * Who holds which share of which tenant's limit, in the leader's memory only. What a gateway holds is what it last
- * said; what it was offered since counts as well, since the answer may have arrived. A gateway that isn't heard holds
- * its shares until their lease is over.
+ * The leader's in-memory registry of leased shares. A gateway is assumed to hold the maximum of what it last reported
+ * and what it was granted since, because the response may or may not have arrived. A silent gateway holds its shares
+ * until their lease expires.
  *
- * A new leader knows nothing of them. Of tenants whose limits gateways may hold rates of it gives nothing until every gateway
- * that may hold shares has spoken, or their leases are over; the limits of all others begin empty and fill once the leader
- * before can't answer any more. Times are given, so that it can be tested on simulated time.
+ * A new leader starts without this state. It grants nothing of shared tenants until every gateway that may hold shares
+ * has reported or its lease has expired; the pools of all other tenants start empty and refill once the previous leader
+ * can no longer respond. The caller passes the current time, so that tests can simulate it.
  */
 import type { GrantedShare, HeldShare, SharesRequest } from './messages.js';
 import {
@@ -20,25 +20,24 @@
 
 export interface ShareRegistryOptions {
   tolerance: QuotaTolerance;
-  /** Shares hold for so long after the answer that gave them, in milliseconds. */
+  /** Duration of the lease of granted shares, in milliseconds. */
   leaseMs: number;
-  /** Share that a gateway gets, as a multiple of its demand. @default HEADROOM */
+  /** Share of a gateway as a multiple of its demand. @default HEADROOM */
   headroom?: number;
-  /** An earlier leader may answer for so long after this one has begun to lead, in milliseconds. */
+  /** Time for which the previous leader may still respond after this one was elected, in milliseconds. */
   overlapMs: number;
-  /** Whether the group has committed that gateways may hold rates of a tenant's limit. */
+  /** Whether the tenant is committed as shared, so that gateways may hold rates of its limit. */
   mayShare: (tenant: string) => boolean;
 }
 
-/** What the group has committed of shares that may be out. */
+/** Committed information about shares that a previous leader may have granted. */
 export interface OutstandingShares {
   /** Gateways that may hold shares. */
   gateways: Iterable<string>;
-  /** Tenants of whose limits they may hold rates. */
+  /** Tenants whose rates they may hold. */
   tenants: Iterable<string>;
 }
 
-/** A tenant's limit, by its name. */
 export interface NamedLimit extends TenantLimit {
   name: string;
 }
@@ -46,97 +45,103 @@
 interface GatewayRecord {
   incarnation: string;
   sequence: number;
-  /** When it was last answered (monotonic, milliseconds). */
-  answeredAt: number;
+  /** When the last response was sent (monotonic, milliseconds). */
+  respondedAt: number;
   holdings: Map<string, GatewayHolding>;
-  answer: GrantedShare[];
-  /** Processes of this gateway before; what they said may still arrive. */
-  past: ReadonlySet<string>;
+  response: GrantedShare[];
+  /** Earlier incarnations of the gateway, whose requests may still arrive. */
+  pastIncarnations: ReadonlySet<string>;
 }
 
 export class ShareRegistry {
   private readonly pools = new Map<string, TenantPool>();
   private readonly gateways = new Map<string, GatewayRecord>();
-  /** Gateways that may hold shares of an earlier leader. */
-  private readonly unheard = new Set<string>();
-  /** Tenants of whose limits gateways may hold rates that an earlier leader gave. */
+  /** Gateways that may hold shares of a previous leader and have not reported yet. */
+  private readonly unreported = new Set<string>();
+  /** Tenants with rates that a previous leader may have granted and that are not all reported yet. */
   private readonly uncertain = new Set<string>();
-  private readonly wanted = new Set<string>();
-  private leasesOverAt = 0;
+  private readonly pendingTenants = new Set<string>();
+  private leasesEndAt = 0;
   private fillsFrom = 0;
 
   constructor(private readonly options: ShareRegistryOptions) {}
 
   /**
-   * This process leads from now on.
-   * @param out what an earlier leader may have given
+   * Resets the registry when this process becomes the leader.
+   * @param outstanding shares that a previous leader may have granted
    */
   begin({ gateways, tenants }: OutstandingShares, now: number): void {
-    for (const state of [this.pools, this.gateways, this.unheard, this.uncertain, this.wanted]) {
+    for (const state of [
+      this.pools,
+      this.gateways,
+      this.unreported,
+      this.uncertain,
+      this.pendingTenants,
+    ]) {
       state.clear();
     }
-    for (const name of gateways) this.unheard.add(name);
+    for (const name of gateways) this.unreported.add(name);
     for (const tenant of tenants) this.uncertain.add(tenant);
-    this.leasesOverAt = now + this.options.leaseMs;
+    this.leasesEndAt = now + this.options.leaseMs;
     this.fillsFrom = now + this.options.overlapMs;
   }
 
-  /** Takes over the tenants of a configuration; those without a limit are left out. */
+  /** Applies the limits of a configuration; tenants without a limit are ignored. */
   setLimits(limits: readonly NamedLimit[], now: number): void {
-    const named = new Map(limits.filter(isLimited).map((limit) => [limit.name, limit]));
-    for (const name of [...this.pools.keys()]) if (!named.has(name)) this.pools.delete(name);
-    for (const [name, limit] of named) this.setLimit(name, limit, now);
+    const limited = new Map(limits.filter(isLimited).map((limit) => [limit.name, limit]));
+    for (const name of [...this.pools.keys()]) if (!limited.has(name)) this.pools.delete(name);
+    for (const [name, limit] of limited) this.setLimit(name, limit, now);
   }
 
   /**
-   * Takes what a gateway says.
-   * @returns what it holds from now on; nothing where it has to tell all that it holds first
+   * Processes a gateway's report.
+   * @returns the shares that it holds from now on; undefined if it has to send a full report first
    */
   report(request: SharesRequest, now: number): GrantedShare[] | undefined {
-    this.endLeases(now);
-    const known = this.gateways.get(request.gateway);
-    if (request.isPartial && known?.incarnation !== request.incarnation) return undefined;
+    this.expireLeases(now);
+    const existing = this.gateways.get(request.gateway);
+    if (request.isPartial && existing?.incarnation !== request.incarnation) return undefined;
     const record = this.recordOf(request);
     if (!record) return [];
-    this.unheard.delete(request.gateway);
-    this.becomeCertain(now);
-    // A question that came twice, or late, changes nothing: the gateway takes one answer only.
-    if (request.sequence <= record.sequence) return record.answer;
+    this.unreported.delete(request.gateway);
+    this.endUncertainty(now);
+    // Duplicate and delayed requests change nothing: the gateway accepts one response per request.
+    if (request.sequence <= record.sequence) return record.response;
     record.sequence = request.sequence;
-    record.answeredAt = now;
-    if (!request.isPartial) this.dropUnnamed(record, request.held, now);
-    record.answer = request.held.flatMap((held) => this.grant(record, held, now) ?? []);
-    return record.answer;
+    record.respondedAt = now;
+    if (!request.isPartial) this.dropUnreported(record, request.held, now);
+    record.response = request.held.flatMap((held) => this.grant(record, held, now) ?? []);
+    return record.response;
   }
 
-  /** Gateways heard by this leader whose leases are not over, and those that it has not heard yet. */
+  /** Gateways with valid leases, and those that have not reported to this leader yet. */
   holders(now: number): string[] {
-    this.endLeases(now);
-    return [...this.gateways.keys(), ...this.unheard];
+    this.expireLeases(now);
+    return [...this.gateways.keys(), ...this.unreported];
   }
 
-  /** Whether there are tenants of whose limits gateways should hold rates, and may not yet. */
+  /** Whether tenants are to be committed as shared. */
   get hasPendingTenants(): boolean {
-    return this.wanted.size > 0;
+    return this.pendingTenants.size > 0;
   }
 
-  /** These tenants; they are named once. */
+  /** Returns the tenants to be committed as shared and clears the list. */
   takePendingTenants(): string[] {
-    const tenants = [...this.wanted];
-    this.wanted.clear();
+    const tenants = [...this.pendingTenants];
+    this.pendingTenants.clear();
     return tenants;
   }
 
-  /** Whether a gateway holds, or may hold, a rate of a tenant's limit. */
+  /** Whether any gateway may hold a rate of a tenant's limit. */
   isShared(tenant: string): boolean {
     return this.uncertain.has(tenant) || (this.pools.get(tenant)?.isShared ?? false);
   }
 
   private setLimit(name: string, limit: TenantLimit, now: number): void {
     const budget = budgetOf(limit, this.options.tolerance);
-    const known = this.pools.get(name);
-    if (known) {
-      known.setBudget(budget, now);
+    const existing = this.pools.get(name);
+    if (existing) {
+      existing.setBudget(budget, now);
       return;
     }
     const pool = new TenantPool(budget, Math.max(now, this.fillsFrom));
@@ -146,30 +151,42 @@
     }
   }
 
-  /** @returns nothing for a process of the gateway that another one has followed */
+  /** @returns undefined for a superseded incarnation of the gateway */
   private recordOf({ gateway, incarnation }: SharesRequest): GatewayRecord | undefined {
-    const known = this.gateways.get(gateway);
-    if (known?.incarnation === incarnation) return known;
-    if (known?.past.has(incarnation)) return undefined;
-    // What the process before held is taken back as the new one doesn't name it.
-    const holdings = known?.holdings ?? new Map<string, GatewayHolding>();
-    const past = known ? new Set([...known.past, known.incarnation]) : new Set<string>();
-    const record = { incarnation, sequence: -1, answeredAt: 0, holdings, answer: [], past };
+    const existing = this.gateways.get(gateway);
+    if (existing?.incarnation === incarnation) return existing;
+    if (existing?.pastIncarnations.has(incarnation)) return undefined;
+    // The shares of the previous incarnation are reclaimed because the new one does not report them.
+    const holdings = existing?.holdings ?? new Map<string, GatewayHolding>();
+    const pastIncarnations = existing
+      ? new Set([...existing.pastIncarnations, existing.incarnation])
+      : new Set<string>();
+    const record = {
+      incarnation,
+      sequence: -1,
+      respondedAt: 0,
+      holdings,
+      response: [],
+      pastIncarnations,
+    };
     this.gateways.set(gateway, record);
     return record;
   }
 
-  /** Every gateway that may hold shares has been heard, or has none any more: what filled meanwhile was never there. */
-  private becomeCertain(now: number): void {
-    if (this.unheard.size > 0 && now < this.leasesOverAt) return;
+  /**
+   * Ends the uncertainty once all gateways have reported or their leases have expired. Tokens refilled until then are
+   * discarded, since gateways may have refilled them as well.
+   */
+  private endUncertainty(now: number): void {
+    if (this.unreported.size > 0 && now < this.leasesEndAt) return;
     for (const tenant of this.uncertain) this.pools.get(tenant)?.empty(now);
     this.uncertain.clear();
   }
 
-  private dropUnnamed(record: GatewayRecord, held: readonly HeldShare[], now: number): void {
-    const named = new Set(held.map(({ tenant }) => tenant));
+  private dropUnreported(record: GatewayRecord, held: readonly HeldShare[], now: number): void {
+    const reported = new Set(held.map(({ tenant }) => tenant));
     for (const tenant of [...record.holdings.keys()]) {
-      if (!named.has(tenant)) this.replaceHolding(record, tenant, NOTHING_HELD, now);
+      if (!reported.has(tenant)) this.replaceHolding(record, tenant, NOTHING_HELD, now);
     }
   }
 
@@ -185,10 +202,10 @@
       totalDemandPerSecond: pool.demandPerSecond,
       gateways: this.gateways.size,
     };
-    if (!mayShare && isWorthSharing(demand)) this.wanted.add(tenant);
+    if (!mayShare && isWorthSharing(demand)) this.pendingTenants.add(tenant);
     const { share, ...granted } = allocateShare({
       budget: pool.limit,
-      others: isCertain ? pool.heldBesides(held) : allBesides(pool, held),
+      others: isCertain ? pool.heldByOthers(held) : allButHeld(pool, held),
       ...demand,
       level,
       waiting,
@@ -212,17 +229,17 @@
     { ratePerSecond, capacity, demandPerSecond }: GatewayHolding,
     now: number,
   ): void {
-    const before = holdings.get(tenant) ?? NOTHING_HELD;
-    this.pools.get(tenant)?.replace(before, { ratePerSecond, capacity, demandPerSecond }, now);
-    const isNothing = ratePerSecond === 0 && capacity === 0 && demandPerSecond === 0;
-    if (isNothing) holdings.delete(tenant);
+    const previous = holdings.get(tenant) ?? NOTHING_HELD;
+    this.pools.get(tenant)?.replace(previous, { ratePerSecond, capacity, demandPerSecond }, now);
+    const isEmpty = ratePerSecond === 0 && capacity === 0 && demandPerSecond === 0;
+    if (isEmpty) holdings.delete(tenant);
     else holdings.set(tenant, { ratePerSecond, capacity, demandPerSecond });
   }
 
-  private endLeases(now: number): void {
-    if (now >= this.leasesOverAt) this.unheard.clear();
+  private expireLeases(now: number): void {
+    if (now >= this.leasesEndAt) this.unreported.clear();
     for (const [name, record] of this.gateways) {
-      if (now - record.answeredAt <= this.options.leaseMs) continue;
+      if (now - record.respondedAt <= this.options.leaseMs) continue;
       for (const tenant of [...record.holdings.keys()]) {
         this.replaceHolding(record, tenant, NOTHING_HELD, now);
       }
@@ -231,8 +248,8 @@
   }
 }
 
-/** While some have not been heard they may hold all that is not known to be held by one gateway. */
-function allBesides({ limit }: TenantPool, held: QuotaShare): QuotaShare {
+/** While gateways have not reported, the others may hold everything that the requesting gateway does not. */
+function allButHeld({ limit }: TenantPool, held: QuotaShare): QuotaShare {
   return {
     ratePerSecond: limit.ratePerSecond - held.ratePerSecond,
     capacity: limit.capacity - held.capacity,
--- a/src/quotas/tenant-pool.ts
+++ b/src/quotas/tenant-pool.ts
@@ -1,22 +1,22 @@
-/** One tenant's limit at the leader: what gateways hold, or may hold, and the tokens that none of them has. */
+/** One tenant's budget at the leader: the shares that gateways may hold, and the pool of the remaining tokens. */
 import type { QuotaShare } from './quota-budget.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** What one gateway holds, or may hold, and what it asked for. */
+/** The share that one gateway may hold, and its demand. */
 export interface GatewayHolding extends QuotaShare {
   demandPerSecond: number;
 }
 
 export const NOTHING_HELD: GatewayHolding = { ratePerSecond: 0, capacity: 0, demandPerSecond: 0 };
 
-/** What sums of rates are off by, at most. */
-const LEAST_RATE = 1e-6;
+/** Rates below this are rounding errors of sums. */
+const RATE_EPSILON = 1e-6;
 
 export class TenantPool {
   private held: GatewayHolding = NOTHING_HELD;
   private readonly bucket: TokenBucket;
 
-  /** @param fillsFrom when it begins to fill (monotonic, milliseconds) */
+  /** @param fillsFrom when the pool starts to refill (monotonic, milliseconds) */
   constructor(
     private budget: QuotaShare,
     fillsFrom: number,
@@ -28,17 +28,17 @@
     return this.budget;
   }
 
-  /** Whether any gateway holds, or may hold, a rate. */
+  /** Whether any gateway may hold a rate. */
   get isShared(): boolean {
-    return this.held.ratePerSecond > LEAST_RATE;
+    return this.held.ratePerSecond > RATE_EPSILON;
   }
 
   get demandPerSecond(): number {
     return this.held.demandPerSecond;
   }
 
-  /** What gateways hold together but for one of them. */
-  heldBesides(own: QuotaShare): QuotaShare {
+  /** The sum of all shares except one gateway's own. */
+  heldByOthers(own: QuotaShare): QuotaShare {
     return {
       ratePerSecond: this.held.ratePerSecond - own.ratePerSecond,
       capacity: this.held.capacity - own.capacity,
@@ -62,7 +62,7 @@
     this.reshape(now);
   }
 
-  /** A gateway's holding has changed. */
+  /** Replaces a gateway's holding. */
   replace(before: GatewayHolding, after: GatewayHolding, now: number): void {
     this.held = {
       ratePerSecond: this.held.ratePerSecond - before.ratePerSecond + after.ratePerSecond,
@@ -75,7 +75,7 @@
     this.reshape(now);
   }
 
-  /** The pool fills at what nobody holds. */
+  /** The pool gets the rate and capacity that no gateway holds. */
   private reshape(now: number): void {
     const ratePerSecond = Math.max(0, this.budget.ratePerSecond - this.held.ratePerSecond);
     const capacity = Math.max(0, this.budget.capacity - this.held.capacity);
--- a/src/quotas/token-bucket.ts
+++ b/src/quotas/token-bucket.ts
@@ -1,18 +1,18 @@
-/** A bucket of tokens that fills at a rate. Times are given, so that it can be tested on simulated time. */
+/** Token bucket. The caller passes the current time, so that tests can simulate it. */
 import type { QuotaShare } from './quota-budget.js';
 
 const MS_PER_SECOND = 1_000;
 
 export class TokenBucket {
   private tokens = 0;
-  private filledAt: number;
+  private refilledAt: number;
 
-  /** It begins empty: what it is to hold is added. */
+  /** The bucket starts empty. */
   constructor(
     private shape: QuotaShare,
     now: number,
   ) {
-    this.filledAt = now;
+    this.refilledAt = now;
   }
 
   get share(): QuotaShare {
@@ -20,40 +20,40 @@
   }
 
   level(now: number): number {
-    this.fill(now);
+    this.refill(now);
     return this.tokens;
   }
 
-  /** Takes a token if there are that many beyond `reserve`. */
+  /** Takes a token unless fewer than `reserve` would be left. */
   take(now: number, reserve = 0): boolean {
-    this.fill(now);
+    this.refill(now);
     if (this.tokens < 1 + reserve) return false;
     this.tokens -= 1;
     return true;
   }
 
-  /** Takes as many as there are, `most` at most. @returns how many */
+  /** Takes up to `most` tokens. @returns how many were taken */
   takeUpTo(most: number, now: number): number {
-    this.fill(now);
+    this.refill(now);
     const taken = Math.max(0, Math.min(most, this.tokens));
     this.tokens -= taken;
     return taken;
   }
 
-  /** What goes beyond the capacity is lost. */
+  /** Tokens beyond the capacity are discarded. */
   add(tokens: number, now: number): void {
-    this.fill(now);
+    this.refill(now);
     this.tokens = Math.min(this.shape.capacity, this.tokens + tokens);
   }
 
-  /** What it holds stays, as far as there is room. */
+  /** Changes rate and capacity; tokens beyond the new capacity are discarded. */
   reshape(shape: QuotaShare, now: number): void {
-    this.fill(now);
+    this.refill(now);
     this.shape = shape;
     this.tokens = Math.min(this.tokens, shape.capacity);
   }
 
-  /** Time until a token is there that nobody holds one of, in milliseconds. */
+  /** Time until a token beyond `reserve` is available, in milliseconds; Infinity if it never is. */
   msUntilToken(now: number, reserve = 0): number {
     const missing = 1 + reserve - this.level(now);
     if (missing <= 0) return 0;
@@ -62,11 +62,11 @@
     return isReachable ? (missing / ratePerSecond) * MS_PER_SECOND : Infinity;
   }
 
-  private fill(now: number): void {
-    const elapsedMs = Math.max(0, now - this.filledAt);
-    this.filledAt = Math.max(this.filledAt, now);
+  private refill(now: number): void {
+    const elapsedMs = Math.max(0, now - this.refilledAt);
+    this.refilledAt = Math.max(this.refilledAt, now);
     const { ratePerSecond, capacity } = this.shape;
-    const filled = this.tokens + (elapsedMs / MS_PER_SECOND) * ratePerSecond;
-    this.tokens = Math.min(capacity, filled);
+    const refilled = this.tokens + (elapsedMs / MS_PER_SECOND) * ratePerSecond;
+    this.tokens = Math.min(capacity, refilled);
   }
 }
