--- a/src/forwarding/backend-view.ts
+++ b/src/forwarding/backend-view.ts
@@ -3,7 +3,7 @@
 import type { BackendLoad, BackendRecord } from '../directory/index.js';
 import { SlowdownEstimator, LatencyModel } from '../performance/index.js';
 import type { PromptPart } from './call-exchange.js';
-import { BackendConnectionPool } from './backend-connection-pool.js';
+import { BackendConnectionPool } from './backend-connections.js';
 import { PromptCacheView } from './prompt-cache-view.js';
 
 const FIRST_SUSPICION_MS = 500;
--- a/src/forwarding/call-run.ts
+++ b/src/forwarding/call-run.ts
@@ -2,7 +2,7 @@
 import { monotonicMs } from '../common/index.js';
 import type { CompiledRoute } from '../routes/index.js';
 import type { CallWork, LatencyModel } from '../performance/index.js';
-import type { BackendConnection } from './backend-connection-pool.js';
+import type { BackendConnection } from './backend-connections.js';
 import type { BackendProtocol } from './backend-protocol.js';
 import type { BackendState, BackendView } from './backend-view.js';
 import { BufferedResponse } from './buffered-answer.js';
--- a/src/forwarding/response-framing.test.ts
+++ b/src/forwarding/response-framing.test.ts
@@ -9,7 +9,7 @@
   write,
 } from '../../tests/support/raw-backend.js';
 import { type RawOutcome, type RawSend, ownLines, sendRaw } from '../../tests/support/raw-sends.js';
-import { BackendConnectionPool } from './backend-connection-pool.js';
+import { BackendConnectionPool } from './backend-connections.js';
 import type { SendResult } from './send-attempt.js';
 
 const OWN_ID = 'call-1';
--- a/src/forwarding/response-fuzz.test.ts
+++ b/src/forwarding/response-fuzz.test.ts
@@ -16,7 +16,7 @@
 import { ownLines, sendRaw } from '../../tests/support/raw-sends.js';
 import { waitUntil } from '../../tests/support/wait-until.js';
 import { SeededRandom } from '../common/index.js';
-import { BackendConnectionPool } from './backend-connection-pool.js';
+import { BackendConnectionPool } from './backend-connections.js';
 
 /** Seeds that failed once stand here, each with a line on the cause. */
 const FAILED_SEEDS: readonly number[] = [
--- a/src/forwarding/send-attempt.ts
+++ b/src/forwarding/send-attempt.ts
@@ -4,7 +4,7 @@
  */
 import type { Dispatcher } from 'undici';
 import { headerValues } from '../http/index.js';
-import type { BackendConnection } from './backend-connection-pool.js';
+import type { BackendConnection } from './backend-connections.js';
 import type { ParsedResponseHead, BackendProtocol, RequestHead } from './backend-protocol.js';
 import { type ResponseFraming, responseFraming } from './answer-end.js';
 import type { ResponseHead } from './call-exchange.js';
--- a/tests/support/raw-sends.ts
+++ b/tests/support/raw-sends.ts
@@ -1,5 +1,5 @@
 /** Sends single calls to a `RawBackend`, through the connections and the code that forwards calls. */
-import type { BackendConnectionPool } from '../../src/forwarding/backend-connection-pool.js';
+import type { BackendConnectionPool } from '../../src/forwarding/backend-connections.js';
 import type { BackendProtocol } from '../../src/forwarding/index.js';
 import { SendAttempt, type SendResult } from '../../src/forwarding/send-attempt.js';
 import { headerValues } from '../../src/http/index.js';
