--- a/src/performance/decaying-least-squares.ts
+++ b/src/performance/decaying-least-squares.ts
@@ -1,34 +1,34 @@
 /**
- * Linear regression over a stream of samples: least squares whose older samples count less and less,
- * with a weak prior (ridge) and with bounded influence of outliers (Huber's weights). Slopes are not
- * negative: a quantity of work never makes a call faster.
+ * Online linear regression: least squares with exponential forgetting, a ridge prior and Huber weights,
+ * which bound the influence of outliers. Slopes are constrained to be non-negative, since more work
+ * never makes a call faster.
  */
 
 export interface LeastSquaresOptions {
-  /** Coefficients to begin with; the first is the intercept, whose input is always 1. */
+  /** Initial coefficients; the first is the intercept, whose input is always 1. */
   prior: readonly number[];
-  /** Samples that the prior weighs as much as. */
+  /** Weight of the prior, in samples. */
   priorSamples: number;
-  /** Share of its weight that a sample keeps when the next one comes, below 1. */
+  /** Forgetting factor per sample, below 1. */
   retention: number;
 }
 
-/** Residuals beyond so many typical ones have bounded influence. */
+/** Huber threshold, as a multiple of the typical residual. */
 const HUBER_RESIDUALS = 2;
-/** Share of the newest residual in the typical one. */
-const RESIDUAL_SHARE = 0.05;
-/** Samples between two solutions, since the coefficients change slowly. */
-const SOLVE_EVERY = 4;
+/** Weight of the newest residual in the moving average. */
+const RESIDUAL_WEIGHT = 0.05;
+/** Number of samples between two solutions. */
+const SAMPLES_PER_SOLUTION = 4;
 
 export class DecayingLeastSquares {
   private readonly size: number;
-  /** Sums of weighted products of inputs, row by row. */
+  /** Weighted sums of products of inputs (the normal matrix). */
   private readonly products: number[][];
-  /** Sums of weighted products of inputs and outputs. */
+  /** Weighted sums of products of inputs and output. */
   private readonly outputs: number[];
   private solution: number[];
   private typicalResidual: number | undefined;
-  private sinceSolved = 0;
+  private samplesSinceSolution = 0;
 
   constructor(private readonly options: LeastSquaresOptions) {
     this.size = options.prior.length;
@@ -47,14 +47,14 @@
 
   /**
    * @param inputs the first is 1
-   * @param trust weight of the sample, in proportion to one over its variance
+   * @param trust weight of the sample, proportional to the inverse of its variance
    */
   add(inputs: readonly number[], output: number, trust = 1): void {
     const scale = Math.sqrt(trust);
-    // Before anything is known, residuals of the size of the outputs themselves are nothing special.
+    // Until residuals are known, the size of the first output serves as the typical residual.
     this.typicalResidual ??= Math.abs(output) * scale;
     const residual = Math.abs(output - this.predict(inputs)) * scale;
-    const weight = trust * this.influenceOf(residual, this.typicalResidual);
+    const weight = trust * this.huberWeight(residual, this.typicalResidual);
     const { retention } = this.options;
     for (let row = 0; row < this.size; row += 1) {
       const rowOfProducts = this.products[row]!;
@@ -64,24 +64,24 @@
       }
       this.outputs[row] = this.outputs[row]! * retention + weighted * output;
     }
-    this.sinceSolved += 1;
-    if (this.sinceSolved >= SOLVE_EVERY) this.solve();
+    this.samplesSinceSolution += 1;
+    if (this.samplesSinceSolution >= SAMPLES_PER_SOLUTION) this.solve();
   }
 
-  private influenceOf(residual: number, typical: number): number {
+  private huberWeight(residual: number, typical: number): number {
     const limit = typical * HUBER_RESIDUALS;
     const counted = Math.min(residual, limit * HUBER_RESIDUALS);
-    this.typicalResidual = typical + (counted - typical) * RESIDUAL_SHARE;
+    this.typicalResidual = typical + (counted - typical) * RESIDUAL_WEIGHT;
     return residual <= limit ? 1 : limit / residual;
   }
 
-  /** Solves without the slopes that would be negative, one after the other. */
+  /** Solves the equations, removing the most negative slope until none is left. */
   private solve(): void {
-    this.sinceSolved = 0;
+    this.samplesSinceSolution = 0;
     const active = this.options.prior.map((_, index) => index);
     for (;;) {
       const values = this.solveFor(active);
-      const lowest = lowestSlope(active, values);
+      const lowest = mostNegativeSlope(active, values);
       if (lowest === undefined) {
         this.solution = this.options.prior.map(() => 0);
         active.forEach((index, position) => (this.solution[index] = values[position]!));
@@ -102,7 +102,10 @@
 }
 
 /** @returns the position of the most negative slope, if any; the intercept may be negative */
-function lowestSlope(active: readonly number[], values: readonly number[]): number | undefined {
+function mostNegativeSlope(
+  active: readonly number[],
+  values: readonly number[],
+): number | undefined {
   let lowest: number | undefined;
   for (let position = 0; position < active.length; position += 1) {
     if (active[position] === 0 || values[position]! >= 0) continue;
@@ -111,7 +114,7 @@
   return lowest;
 }
 
-/** Gaussian elimination; the matrix is positive definite, so that no pivoting is needed. */
+/** Gaussian elimination without pivoting; the matrix is positive definite. */
 function solveSymmetric(matrix: number[][], vector: number[]): number[] {
   const size = vector.length;
   for (let pivot = 0; pivot < size; pivot += 1) {
--- a/src/performance/index.ts
+++ b/src/performance/index.ts
@@ -1,3 +1,3 @@
-/** How fast back ends are, from the calls of this process. */
+/** Latency estimation of backends from the calls of this process. */
 export { SlowdownEstimator } from './slowdown-estimator.js';
 export { type CallWork, LatencyModel } from './latency-model.js';
--- a/src/performance/latency-model.ts
+++ b/src/performance/latency-model.ts
@@ -1,93 +1,93 @@
 /**
- * How long calls of one service take, as this process has observed it: a part that every call has,
- * the reading of prompt tokens that are not cached, and the events of the answer, which come more slowly
- * the more calls run beside. Which engines there are, and how fast they are, is nowhere written down.
+ * Latency model of one service, learned from the calls of this process: a constant, the prefill of
+ * uncached prompt tokens, and the events of the response, which slow down with the number of
+ * concurrent calls. No engine speeds are configured.
  */
 import { DecayingLeastSquares } from './decaying-least-squares.js';
 
-/** What the time of a call follows from. */
+/** The inputs that determine the latency of a call. */
 export interface CallWork {
-  /** Prompt tokens that the back end most likely had to read. */
+  /** Prompt tokens that the backend probably did not have cached. */
   missingTokens: number;
-  /** Calls that ran there when it was sent. */
+  /** Concurrent calls at the backend when the call was sent. */
   load: number;
-  /** Events of the answer. */
+  /** Events in the response. */
   events: number;
 }
 
-/** Units in which the regression counts, so that its prior weighs alike on each. */
+/** Scales of the regression inputs, so that the prior has similar weight on each. */
 const TOKENS_UNIT = 1_000;
 const EVENTS_UNIT = 10;
 const LOAD_UNIT = 10;
 /**
- * Milliseconds of a call, of reading 1,000 tokens, of ten events, and of ten events beside ten other
- * calls, before anything was observed: orders of magnitude only, outweighed by a dozen calls.
+ * Initial coefficients: milliseconds per call, per 1,000 tokens, per 10 events, and per 10 events with 10
+ * concurrent calls.
  */
 const PRIOR: readonly number[] = [50, 10, 100, 50];
 const PRIOR_SAMPLES = 2;
-/** Half of what is known comes from the last hundred calls. */
+/** Half of the total weight lies on the last 100 calls. */
 const RETENTION = 0.993;
-/** Back ends with no larger share of their places taken show what calls take when all is calm. */
-const CALM_SHARE = 0.25;
-/** Calls shorter than this share of a typical one are trusted no more than those of that length. */
-const LEAST_TRUSTED_SHARE = 0.1;
-/** Share of the newest call in the mean events and the mean time of a call. */
-const MEAN_SHARE = 0.05;
+/** Maximum utilization at which a backend counts as unloaded. */
+const UNLOADED_UTILIZATION = 0.25;
+/** Lower bound of the predicted latency when weighting samples, as a fraction of the typical latency. */
+const MINIMUM_LATENCY_FRACTION = 0.1;
+/** Weight of the newest call in the moving averages. */
+const MEAN_WEIGHT = 0.05;
 
 export class LatencyModel {
   private readonly regression = createRegression();
-  /** Learns from calls at back ends that had little to do. */
-  private readonly calmRegression = createRegression();
+  /** Learns only from calls at unloaded backends. */
+  private readonly unloadedRegression = createRegression();
   private meanEvents: number | undefined;
   private meanMs: number | undefined;
   private meanPromptTokens: number | undefined;
 
-  /** Time to read one prompt token, in milliseconds. */
+  /** Prefill time per prompt token, in milliseconds. */
   get msPerToken(): number {
     return this.regression.coefficients[1]! / TOKENS_UNIT;
   }
 
-  /** Events of a typical answer. */
+  /** Mean number of events per response. */
   get typicalEvents(): number {
     return this.meanEvents ?? 0;
   }
 
-  /** Tokens of a typical prompt, whether read or cached; 0 before the first call. */
+  /** Mean number of prompt tokens, cached or not; 0 before the first call. */
   get typicalPromptTokens(): number {
     return this.meanPromptTokens ?? 0;
   }
 
-  /** Time of a typical call, in milliseconds. */
+  /** Mean latency, in milliseconds. */
   get typicalMs(): number {
     return this.meanMs ?? PRIOR[0]!;
   }
 
-  /** Takes the prompt of a call that is sent into account. */
+  /** Records the prompt length of a call that is sent. */
   notePrompt(tokens: number): void {
-    this.meanPromptTokens = mean(this.meanPromptTokens, tokens);
+    this.meanPromptTokens = movingAverage(this.meanPromptTokens, tokens);
   }
 
   /**
-   * Takes a call into account that was answered whole.
-   * @param places typical calls that fit at once at the back end
+   * Records the latency of a call with a complete response.
+   * @param capacity typical calls that the backend can process at once
    */
-  observe(work: CallWork, tookMs: number, places: number): void {
+  observe(work: CallWork, tookMs: number, capacity: number): void {
     learn(this.regression, work, tookMs, this.typicalMs);
-    if (work.load <= places * CALM_SHARE) {
-      learn(this.calmRegression, work, tookMs, this.typicalMs);
+    if (work.load <= capacity * UNLOADED_UTILIZATION) {
+      learn(this.unloadedRegression, work, tookMs, this.typicalMs);
     }
-    this.meanEvents = mean(this.meanEvents, work.events);
-    this.meanMs = mean(this.meanMs, tookMs);
+    this.meanEvents = movingAverage(this.meanEvents, work.events);
+    this.meanMs = movingAverage(this.meanMs, tookMs);
   }
 
-  /** Time that a call takes at a back end of ordinary speed, in milliseconds. */
+  /** Predicted latency on a backend of normal speed, in milliseconds. */
   predictMs(work: CallWork): number {
     return predict(this.regression, work);
   }
 
-  /** Time that a call would take where nothing else runs, by what calm times have shown. */
+  /** Predicted latency on an unloaded backend, in milliseconds. */
   predictUnloadedMs(work: Omit<CallWork, 'load'>): number {
-    return predict(this.calmRegression, { ...work, load: 0 });
+    return predict(this.unloadedRegression, { ...work, load: 0 });
   }
 }
 
@@ -103,24 +103,24 @@
   return Math.max(1, regression.predict(inputsOf(work)));
 }
 
-/** The time of a call varies in proportion to its length, so that short calls tell more. */
+/** The variance of the latency grows with its length, so that short calls get more weight. */
 function learn(
   regression: DecayingLeastSquares,
   work: CallWork,
   tookMs: number,
   typicalMs: number,
 ): void {
-  const shortest = typicalMs * LEAST_TRUSTED_SHARE;
-  const trust = typicalMs / Math.max(shortest, predict(regression, work));
+  const minimumMs = typicalMs * MINIMUM_LATENCY_FRACTION;
+  const trust = typicalMs / Math.max(minimumMs, predict(regression, work));
   regression.add(inputsOf(work), tookMs, trust);
 }
 
-/** Calls beside slow the generation of each event down. */
+/** The last input models the slowdown of each event by concurrent calls. */
 function inputsOf({ missingTokens, load, events }: CallWork): number[] {
-  const tens = events / EVENTS_UNIT;
-  return [1, missingTokens / TOKENS_UNIT, tens, (tens * load) / LOAD_UNIT];
+  const scaledEvents = events / EVENTS_UNIT;
+  return [1, missingTokens / TOKENS_UNIT, scaledEvents, (scaledEvents * load) / LOAD_UNIT];
 }
 
-function mean(before: number | undefined, value: number): number {
-  return before === undefined ? value : before + (value - before) * MEAN_SHARE;
+function movingAverage(before: number | undefined, value: number): number {
+  return before === undefined ? value : before + (value - before) * MEAN_WEIGHT;
 }
--- a/src/performance/slowdown-estimator.ts
+++ b/src/performance/slowdown-estimator.ts
@@ -1,49 +1,49 @@
 /**
- * How much longer than others one back end takes for the same work: 1 is ordinary, 2 twice as long.
- * Times of single calls vary widely; only a difference that is significant counts. Without calls it
- * goes back to ordinary, so that a back end that recovered is tried again.
+ * Estimates the slowdown of one backend relative to the others: 1 is normal, 2 takes twice as long for
+ * the same work. Since single latencies vary widely, only statistically significant differences count.
+ * Without calls the estimate decays to 1, so that a recovered backend is used again.
  */
 import { monotonicMs } from '../common/index.js';
 
-/** Share of the newest call, in the logarithm. */
-const NEWEST_SHARE = 0.2;
-/** Without calls half of the difference is forgotten in this time, in milliseconds. */
+/** Weight of the newest call in the moving averages. */
+const SAMPLE_WEIGHT = 0.2;
+/** Half-life of the estimate without calls, in milliseconds. */
 const HALF_LIFE_MS = 4_000;
-/** One call counts within these bounds. */
-const FASTEST = 0.25;
-const SLOWEST = 8;
-/** Variance of the logarithm of single calls before any was seen. */
+/** Bounds of the ratio of a single call. */
+const MINIMUM_RATIO = 0.25;
+const MAXIMUM_RATIO = 8;
+/** Initial variance of the logarithm of the ratio. */
 const PRIOR_VARIANCE = 0.5;
-/** A difference counts beyond so many standard errors. */
+/** Number of standard errors beyond which a difference is significant. */
 const SIGNIFICANT_ERRORS = 1.5;
 
 export class SlowdownEstimator {
-  /** Mean of the logarithms of observed over expected times. */
+  /** Moving average of the logarithm of the ratio of actual to expected latency. */
   private mean = 0;
   private variance = PRIOR_VARIANCE;
   private notedAt = 0;
 
-  /** @param clock monotonic, in milliseconds */
+  /** @param clock monotonic clock, in milliseconds */
   constructor(private readonly clock: () => number = monotonicMs) {}
 
   get factor(): number {
-    const mean = this.mean * this.remembered();
-    const standardError = Math.sqrt((this.variance * NEWEST_SHARE) / (2 - NEWEST_SHARE));
+    const mean = this.mean * this.decayFactor();
+    const standardError = Math.sqrt((this.variance * SAMPLE_WEIGHT) / (2 - SAMPLE_WEIGHT));
     const significant = Math.max(0, Math.abs(mean) - SIGNIFICANT_ERRORS * standardError);
     return Math.exp(Math.sign(mean) * significant);
   }
 
-  /** Takes a call into account that should have taken `expectedMs` at an ordinary back end. */
+  /** @param expectedMs predicted latency on a backend of normal speed */
   note(tookMs: number, expectedMs: number): void {
-    const ratio = Math.min(SLOWEST, Math.max(FASTEST, tookMs / expectedMs));
-    const before = this.mean * this.remembered();
+    const ratio = Math.min(MAXIMUM_RATIO, Math.max(MINIMUM_RATIO, tookMs / expectedMs));
+    const before = this.mean * this.decayFactor();
     const difference = Math.log(ratio) - before;
-    this.mean = before + difference * NEWEST_SHARE;
-    this.variance += (difference ** 2 - this.variance) * NEWEST_SHARE;
+    this.mean = before + difference * SAMPLE_WEIGHT;
+    this.variance += (difference ** 2 - this.variance) * SAMPLE_WEIGHT;
     this.notedAt = this.clock();
   }
 
-  private remembered(): number {
+  private decayFactor(): number {
     return 0.5 ** ((this.clock() - this.notedAt) / HALF_LIFE_MS);
   }
 }
