--- a/src/backends/backend-table.ts
+++ b/src/backends/backend-table.ts
@@ -1,6 +1,6 @@
 /**
- * The back ends that the current configuration names, and those of them that this gateway uses. What
- * a gateway knows of a back end is kept only for those that it considers, not for all of a large fleet.
+ * The backends of the current configuration, and the state of those that this gateway uses. State is
+ * kept only for candidates of this gateway, not for all backends of a large fleet.
  */
 import { type BackendIntent, type IntentDocument, findItem } from '../intents/index.js';
 import { Backend } from './backend.js';
@@ -9,14 +9,14 @@
 export interface BackendTableOptions {
   engineConcurrency: number;
   serviceConcurrency: number;
-  /** Engines of one model that this gateway considers at most. */
+  /** Maximum number of engines per model that this gateway uses. */
   engineSubset: number;
   owner: SubsetOwner;
 }
 
 export class BackendTable {
-  /** Back ends that were considered since they are in the configuration. */
-  private readonly used = new Map<string, Backend>();
+  /** State of the backends in use, by id. */
+  private readonly backends = new Map<string, Backend>();
   private subsets = new Map<string, Backend[]>();
   private watched: readonly Backend[] = [];
   private services: Backend[] = [];
@@ -25,45 +25,46 @@
 
   constructor(private readonly options: BackendTableOptions) {}
 
-  /** Takes over a new configuration; what is known of unchanged back ends stays. */
+  /** Applies a new configuration; the state of backends with an unchanged address is kept. */
   update(document: IntentDocument): void {
     if (document.backends === this.intents) return;
     this.intents = document.backends;
-    for (const [id, backend] of this.used) {
+    for (const [id, backend] of this.backends) {
       const intent = findItem(this.intents, id);
       if (intent?.address === backend.intent.address) backend.intent = intent;
-      else this.used.delete(id);
+      else this.backends.delete(id);
     }
     this.chooseSubsets();
     const services = this.intents.filter(({ kind }) => kind === 'service');
-    this.services = services.map((intent) => this.use(intent));
+    this.services = services.map((intent) => this.backendFor(intent));
   }
 
-  /** Takes over which machines the platform calls leaving. */
+  /** Updates the list of machines that the platform reports as leaving. */
   markLeaving(machines: readonly string[]): void {
     if (machines.length === 0 && this.leaving.size === 0) return;
     this.leaving = new Set(machines);
-    for (const backend of this.used.values()) backend.isLeaving = this.leaving.has(backend.id);
+    for (const backend of this.backends.values()) backend.isLeaving = this.leaving.has(backend.id);
   }
 
   find(id: string): Backend | undefined {
     const intent = findItem(this.intents, id);
-    return intent && this.use(intent);
+    return intent && this.backendFor(intent);
   }
 
-  /** @param previous the engine that served the program before; considered wherever it is */
+  /** @param previous the engine that served the program before; included even if outside the subset */
   enginesFor(model: string, previous?: string): Backend[] {
     const subset = this.subsets.get(model) ?? [];
-    const earlier = previous === undefined ? undefined : this.find(previous);
-    const isExtra = earlier?.intent.models.includes(model) && !subset.includes(earlier);
-    return isExtra ? [...subset, earlier!] : subset;
+    const previousEngine = previous === undefined ? undefined : this.find(previous);
+    const isExtra =
+      previousEngine?.intent.models.includes(model) && !subset.includes(previousEngine);
+    return isExtra ? [...subset, previousEngine!] : subset;
   }
 
   servicesFor(service: string): Backend[] {
     return this.services.filter(({ intent }) => intent.services.includes(service));
   }
 
-  /** Engines whose load this gateway follows. */
+  /** Engines whose load this gateway monitors. */
   get watchedEngines(): readonly Backend[] {
     return this.watched;
   }
@@ -84,20 +85,20 @@
       const chosen = chooseSubset(engines, owner, engineSubset);
       this.subsets.set(
         model,
-        chosen.map((intent) => this.use(intent)),
+        chosen.map((intent) => this.backendFor(intent)),
       );
     }
     this.watched = [...new Set([...this.subsets.values()].flat())];
   }
 
-  private use(intent: BackendIntent): Backend {
-    let backend = this.used.get(intent.id);
+  private backendFor(intent: BackendIntent): Backend {
+    let backend = this.backends.get(intent.id);
     if (!backend) {
       const { engineConcurrency, serviceConcurrency } = this.options;
       const isEngine = intent.kind === 'engine';
       backend = new Backend(intent, isEngine ? engineConcurrency : serviceConcurrency);
       backend.isLeaving = this.leaving.has(intent.id);
-      this.used.set(intent.id, backend);
+      this.backends.set(intent.id, backend);
     }
     return backend;
   }
--- a/src/backends/backend.ts
+++ b/src/backends/backend.ts
@@ -1,4 +1,4 @@
-/** What a gateway knows of one back end. */
+/** A gateway's state of one backend. */
 import { monotonicMs } from '../common/index.js';
 import type { BackendIntent } from '../intents/index.js';
 import { CircuitBreaker, ConcurrencyLimit } from '../limits/index.js';
@@ -17,20 +17,20 @@
   capacityBlocks: 0,
 };
 
-/** Unanswered questions in a row after which a back end gets no new work until it answers. */
-const SILENCES_UNTIL_AVOIDED = 2;
-/** How late a report is assumed to be: own dispatches younger than this are not in it. */
-const ASSUMED_REPORT_LAG_MS = 350;
+/** Consecutive failed polls after which a backend gets no new work until it responds. */
+const MAX_FAILED_POLLS = 2;
+/** Assumed delay of load reports: calls dispatched within this time are not included in them. */
+const REPORT_DELAY_MS = 350;
 
 export class Backend {
   readonly breaker = new CircuitBreaker();
   readonly limit: ConcurrencyLimit;
   private report: LoadReport = EMPTY_LOAD;
-  /** When the load was last reported or asked for in vain (monotonic, milliseconds). */
+  /** Time of the last load report or failed poll (monotonic, milliseconds). */
   reportedAtMs = Number.NEGATIVE_INFINITY;
-  private silences = 0;
+  private failedPolls = 0;
   private dispatched: DispatchedWork[] = [];
-  /** The platform's list says that the machine is leaving. */
+  /** Whether the platform lists the machine as leaving. */
   isLeaving = false;
 
   constructor(
@@ -46,7 +46,7 @@
 
   get takesNewWork(): boolean {
     const isWanted = this.intent.state === 'active' && !this.isLeaving;
-    return isWanted && this.breaker.allows && this.silences < SILENCES_UNTIL_AVOIDED;
+    return isWanted && this.breaker.allows && this.failedPolls < MAX_FAILED_POLLS;
   }
 
   get load(): LoadReport {
@@ -56,29 +56,28 @@
   noteReport(report: LoadReport): void {
     this.report = report;
     this.reportedAtMs = monotonicMs();
-    this.silences = 0;
+    this.failedPolls = 0;
   }
 
-  /** Notes that the back end did not answer when asked for its load. */
   notePollFailure(): void {
-    this.silences += 1;
+    this.failedPolls += 1;
     this.reportedAtMs = monotonicMs();
   }
 
-  /** Notes work sent now, which the next reports do not show yet. */
+  /** Records dispatched work, which the next reports do not include yet. */
   noteDispatched(prefillTokens: number): void {
     this.dispatched.push({ atMs: monotonicMs(), prefillTokens });
   }
 
-  /** Prompt tokens waiting to be computed: as reported, plus what was sent since. */
+  /** Prompt tokens queued for prefill: as reported, plus recently dispatched ones. */
   get estimatedPrefillTokens(): number {
-    const since = monotonicMs() - ASSUMED_REPORT_LAG_MS;
+    const since = monotonicMs() - REPORT_DELAY_MS;
     this.dispatched = this.dispatched.filter((work) => work.atMs >= since);
     const own = this.dispatched.reduce((sum, work) => sum + work.prefillTokens, 0);
     return this.report.pendingPrefillTokens + own;
   }
 
-  /** Calls that are at the back end, as far as can be known here. */
+  /** Lower bound of the calls at the backend. */
   get estimatedCalls(): number {
     return Math.max(this.limit.inFlight, this.report.running + this.report.waiting);
   }
--- a/src/backends/backends.test.ts
+++ b/src/backends/backends.test.ts
@@ -1,4 +1,4 @@
-/** The table of back ends, its subsets, and the questions for load. */
+/** Backend table, engine subsets and load polling. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import {
   type BackendIntent,
@@ -19,7 +19,7 @@
   capacityBlocks: 1,
 };
 
-function engine(index: number, change: Partial<BackendIntent> = {}): BackendIntent {
+function engine(index: number, overrides: Partial<BackendIntent> = {}): BackendIntent {
   return {
     id: `e${index}`,
     kind: 'engine',
@@ -28,7 +28,7 @@
     models: ['m'],
     services: [],
     state: 'active',
-    ...change,
+    ...overrides,
   };
 }
 
@@ -42,14 +42,14 @@
   return new BackendTable({ engineConcurrency: 4, serviceConcurrency: 4, engineSubset, owner });
 }
 
-describe('the table', () => {
+describe('backend table', () => {
   it('uses all engines of a small fleet', () => {
     const table = tableOf('gateway-1', 48);
     table.update(documentOf(10));
     expect(table.enginesFor('m')).toHaveLength(10);
   });
 
-  it('takes a share of a large one, near engines first, and the previous one wherever it is', () => {
+  it('uses a subset of a large fleet, same zone first, plus the previous engine', () => {
     const table = tableOf('gateway-1', 8);
     table.update(documentOf(1_000));
     const chosen = table.enginesFor('m');
@@ -58,20 +58,20 @@
     expect(table.enginesFor('m', 'e0').map(({ id }) => id)).toContain('e0');
   });
 
-  it('spreads the shares of many gateways evenly', () => {
+  it('balances the subsets of many gateways', () => {
     const uses = new Map<string, number>();
     for (let index = 0; index < 200; index += 1) {
       const table = tableOf(`gateway-${index}`, 8);
       table.update(documentOf(200));
       for (const { id } of table.enginesFor('m')) uses.set(id, (uses.get(id) ?? 0) + 1);
     }
-    // 40 near engines for 1,600 places: 40 each on average.
+    // 200 gateways with 8 engines each over 40 engines of the zone: 40 per engine on average.
     expect(uses.size).toBe(40);
     expect(Math.max(...uses.values())).toBeLessThan(80);
     expect(Math.min(...uses.values())).toBeGreaterThan(15);
   });
 
-  it('keeps what it knows of an engine over revisions, until its address changes', () => {
+  it('keeps the state of an engine across revisions until its address changes', () => {
     const table = tableOf('gateway-1', 48);
     table.update(documentOf(3));
     const known = table.find('e1')!;
@@ -86,7 +86,7 @@
     expect(table.find('e1')).not.toBe(known);
   });
 
-  it('marks what the platform calls leaving, also when it is used only later', () => {
+  it('marks leaving machines, including backends first used later', () => {
     const table = tableOf('gateway-1', 1);
     table.update(documentOf(30));
     table.markLeaving(['e5']);
@@ -96,7 +96,7 @@
   });
 });
 
-describe('questions for load', () => {
+describe('load polling', () => {
   beforeEach(() => vi.useFakeTimers({ toFake: ['performance', 'setTimeout', 'clearTimeout'] }));
   afterEach(() => vi.useRealTimers());
 
@@ -111,7 +111,7 @@
     return poller;
   }
 
-  it('stay within their bound', async () => {
+  it('respects the rate limit', async () => {
     let polls = 0;
     const engines = Array.from({ length: 100 }, (_, index) => new Backend(engine(index), 1));
     const poller = startPoller(engines, () => {
@@ -124,7 +124,7 @@
     expect(polls).toBeLessThanOrEqual(101);
   });
 
-  it('are not sent to engines that reported with their answers', async () => {
+  it('skips engines that reported with their responses', async () => {
     let polls = 0;
     const busy = new Backend(engine(1), 1);
     busy.noteReport(LOAD);
@@ -140,11 +140,11 @@
     expect(polls).toBe(0);
   });
 
-  it('keep new work from an engine that does not answer, until it does', async () => {
+  it('withholds new work from an engine that does not respond, until it does', async () => {
     let isFrozen = true;
     const frozen = new Backend(engine(1), 1);
     const poller = startPoller([frozen], () =>
-      isFrozen ? Promise.reject(new Error('silent')) : Promise.resolve(LOAD),
+      isFrozen ? Promise.reject(new Error('no response')) : Promise.resolve(LOAD),
     );
     await vi.advanceTimersByTimeAsync(2_000);
     expect(frozen.takesNewWork).toBe(false);
--- a/src/backends/close-delimited-response.test.ts
+++ b/src/backends/close-delimited-response.test.ts
@@ -1,4 +1,4 @@
-/** Answers of back ends that end with their connection, read by the clients of this slice. */
+/** Responses that are delimited by the close of the connection. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { Agent } from 'undici';
 import { afterEach, describe, expect, it } from 'vitest';
@@ -14,14 +14,14 @@
 
 const HEAD = 'HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n';
 const TIMEOUT_MS = 2_000;
-/** Far more than undici and the socket buffer, so that its parser is paused again and again. */
+/** Larger than the buffers of undici and the socket, so that the parser is paused repeatedly. */
 const LARGE_BYTES = 400_000;
 
 let backend: RawBackend | undefined;
 const agent = new Agent({ connect: backendConnector(TIMEOUT_MS) });
 afterEach(() => backend?.stop());
 
-/** Reads the whole body, pausing at each part. @returns its length */
+/** Reads the body with a delay after each chunk. @returns its length */
 async function readSlowly(script: readonly ScriptStep[]): Promise<number> {
   backend = await RawBackend.start(() => script);
   const response = await callBackend(agent, {
@@ -40,13 +40,13 @@
   return bytes;
 }
 
-describe('an answer that ends with its connection', () => {
-  it('is whole after an orderly close, however slowly it is read', async () => {
+describe('close-delimited response', () => {
+  it('is complete after an orderly close, even with a slow reader', async () => {
     const script = [write(HEAD + 'x'.repeat(LARGE_BYTES)), close];
     expect(await readSlowly(script)).toBe(LARGE_BYTES);
   });
 
-  it('fails when it is reset', async () => {
+  it('fails when the connection is reset', async () => {
     await expect(readSlowly([write(`${HEAD}{"answer":`), ...reset])).rejects.toThrow();
   });
 });
--- a/src/backends/control-requests.ts
+++ b/src/backends/control-requests.ts
@@ -1,18 +1,18 @@
-/** Requests that the control processes send to engines: releases of memory and fenced orders. */
+/** Requests from the control processes to engines: cache releases and fenced orders. */
 import { type Agent, request } from 'undici';
 
 const REQUEST_TIMEOUT_MS = 2_000;
 const HTTP_OK = 200;
 
 export interface EngineOrder {
-  /** Orders with a lower fence than one already taken are refused by the engine. */
+  /** Fencing token: the engine rejects orders with a lower fence than it has already accepted. */
   fence: number;
   role: 'active' | 'draining';
-  /** Models with version and adapters that the engine shall have loaded. */
+  /** Models, with version and adapters, that the engine must have loaded. */
   models: { id: string; version: string; adapters: string[] }[];
 }
 
-/** Sends a request with a JSON body; resolves with whether the engine confirmed it. */
+/** Sends a JSON request. @returns whether the engine confirmed it */
 async function post(agent: Agent, address: string, path: string, body: unknown): Promise<boolean> {
   const response = await request(`http://${address}${path}`, {
     method: 'POST',
@@ -26,7 +26,7 @@
   return response.statusCode === HTTP_OK;
 }
 
-/** Asks an engine to drop what it holds for programs that have ended. */
+/** Asks an engine to release the cached prefixes of ended programs. */
 export function sendRelease(
   agent: Agent,
   address: string,
--- a/src/backends/engine-client.ts
+++ b/src/backends/engine-client.ts
@@ -1,4 +1,4 @@
-/** Talks to model engines: dispatches calls, reads their streams, takes streams up again. */
+/** Client of model engines: dispatches calls and reads, resumes and cancels their streams. */
 import { Agent, type Dispatcher } from 'undici';
 import { z } from 'zod';
 import type { ChatMessage } from '../common/index.js';
@@ -15,15 +15,15 @@
   model: string;
   messages: readonly ChatMessage[];
   maxTokens: number;
-  /** Lower runs first. */
+  /** Lower values run first. */
   priority: number;
-  /** The engine refuses rather than spend more, in tokens. */
+  /** Maximum cost in tokens; the engine rejects the call if it would cost more. */
   costCeiling: number;
-  /** How long the engine shall keep the program's prefix after the answer, in milliseconds. */
+  /** How long the engine keeps the program's prefix cached after the response, in milliseconds. */
   holdMs: number;
 }
 
-/** Names a stream that an engine may still have. */
+/** Identifies a stream that an engine may still have buffered. */
 export interface StreamReference {
   program: string;
   sequence: number;
@@ -39,11 +39,11 @@
 export interface EngineStreamEnd {
   finishReason: string;
   usage: EngineUsage;
-  /** The engine's load, if it came along with the answer. */
+  /** The engine's load, if included in the response. */
   load?: LoadReport;
 }
 
-/** A piece of an answer; the last one has an end. */
+/** A chunk of a response; the last one has `end`. */
 export interface EngineChunk {
   text: string;
   end?: EngineStreamEnd;
@@ -77,7 +77,7 @@
   choices: [{ delta: { content: string }; finish_reason?: undefined }];
 }
 
-const END_MARK = '[DONE]';
+const DONE_MARKER = '[DONE]';
 const CONNECT_TIMEOUT_MS = 500;
 
 export class EngineClient {
@@ -85,7 +85,7 @@
 
   constructor(private readonly options: EngineClientOptions) {}
 
-  /** Dispatches a call and yields its answer. @throws BackendError */
+  /** Dispatches a call and yields its response. @throws BackendError */
   async *complete(address: string, call: EngineCall): AsyncGenerator<EngineChunk> {
     const { tenant, program, sequence, attempt, costCeiling, holdMs } = call;
     const response = await callBackend(this.agent, {
@@ -114,7 +114,7 @@
     yield* readChunks(response, address, 0);
   }
 
-  /** Yields the rest of a stream from character `offset` on. @throws BackendError */
+  /** Resumes a stream at character `offset`. @throws BackendError */
   async *resume(
     address: string,
     stream: StreamReference,
@@ -131,7 +131,7 @@
     yield* readChunks(response, address, offset);
   }
 
-  /** Cancels a stream that is no longer wanted; failures do not matter. */
+  /** Cancels a stream; backend errors are ignored. */
   async cancel(address: string, stream: StreamReference): Promise<void> {
     try {
       const response = await callBackend(this.agent, {
@@ -169,20 +169,20 @@
   try {
     for await (const text of response.body) {
       for (const event of parser.push(text as string)) {
-        if (event.data === END_MARK) return reader.finish();
+        if (event.data === DONE_MARKER) return reader.finish();
         yield reader.read(event);
       }
     }
   } catch (cause) {
     if (cause instanceof BackendError) throw cause;
-    throw new BackendLostError('the stream broke', { ...context, cause });
+    throw new BackendLostError('connection lost during the stream', { ...context, cause });
   }
   throw new BackendLostError('the stream ended early', context);
 }
 
 /**
- * Recognises the one kind of chunk that comes for every token, at a fraction of the cost of the whole
- * schema; all others, and all wrong ones, go through the schema.
+ * Fast path for the plain text chunks that make up most of a stream; all other chunks, including invalid
+ * ones, are validated by the schema.
  */
 function isTextChunk(value: unknown): value is TextChunk {
   const { choices, usage, ledgegauge } = value as Partial<TextChunk & z.infer<typeof chunkSchema>>;
@@ -191,7 +191,7 @@
   return typeof choice?.delta?.content === 'string' && choice.finish_reason === undefined;
 }
 
-/** Checks that the pieces of a stream join without a gap. */
+/** Decodes chunks and checks that their positions are contiguous. */
 class ChunkReader {
   private hasEnded = false;
 
@@ -209,7 +209,7 @@
       throw this.error(`expected position ${this.position}, got ${event.id}`);
     }
     if (typeof choice.finish_reason !== 'string') return { text };
-    if (!chunk.usage) throw this.error('the last piece has no usage');
+    if (!chunk.usage) throw this.error('the last chunk has no usage');
     this.hasEnded = true;
     const { usage } = chunk;
     return {
@@ -227,7 +227,7 @@
   }
 
   finish(): void {
-    if (!this.hasEnded) throw this.error('end mark without a last piece');
+    if (!this.hasEnded) throw this.error('[DONE] before the last chunk');
   }
 
   private parse(data: string): z.infer<typeof chunkSchema> {
@@ -235,7 +235,7 @@
       const value: unknown = JSON.parse(data);
       return isTextChunk(value) ? value : chunkSchema.parse(value);
     } catch (cause) {
-      throw this.error('not a chunk of an answer', cause);
+      throw this.error('invalid chunk in the stream', cause);
     }
   }
 
--- a/src/backends/engine-subset.ts
+++ b/src/backends/engine-subset.ts
@@ -1,7 +1,7 @@
 /**
- * Which engines a gateway keeps an eye on. With thousands of engines no gateway can follow the load
- * of all; each takes a fixed share, those of its own zone first, chosen so that all engines are in
- * about as many shares and that few change when engines come and go (rendezvous hashing).
+ * Selects the subset of engines that a gateway monitors and uses, because no gateway can monitor
+ * thousands of engines. Engines of the gateway's zone come first. Rendezvous hashing balances the
+ * subsets over the engines and keeps changes small when engines are added or removed.
  */
 import { rankForKey } from '../common/index.js';
 import type { BackendIntent } from '../intents/index.js';
@@ -18,8 +18,8 @@
   size: number,
 ): BackendIntent[] {
   if (engines.length <= size) return [...engines];
-  const rank = (some: BackendIntent[]): BackendIntent[] =>
-    rankForKey(owner.name, some, (engine) => engine.id);
+  const rank = (group: BackendIntent[]): BackendIntent[] =>
+    rankForKey(owner.name, group, (engine) => engine.id);
   const near = rank(engines.filter((engine) => engine.zone === owner.zone));
   if (near.length >= size) return near.slice(0, size);
   const far = rank(engines.filter((engine) => engine.zone !== owner.zone));
--- a/src/backends/errors.ts
+++ b/src/backends/errors.ts
@@ -1,16 +1,16 @@
 import { LedgegaugeError, type ErrorContext } from '../common/index.js';
 
-/** A back end failed. `mayHaveRun` tells whether the request may have run there. */
+/** A backend request failed; `mayHaveRun` tells whether the backend may have executed it. */
 export abstract class BackendError extends LedgegaugeError {
   abstract readonly mayHaveRun: boolean;
 }
 
-/** No connection could be made, so the request never reached the back end. */
+/** No connection could be established, so the request never reached the backend. */
 export class BackendUnreachableError extends BackendError {
   readonly mayHaveRun = false;
 }
 
-/** The back end answered that it does not take the request now. */
+/** The backend rejected the request without executing it. */
 export class BackendRefusedError extends BackendError {
   readonly mayHaveRun = false;
 
@@ -23,22 +23,22 @@
   }
 }
 
-/** The connection broke, or nothing came for too long, after the request was sent. */
+/** The connection was lost or timed out after the request was sent. */
 export class BackendLostError extends BackendError {
   readonly mayHaveRun = true;
 }
 
-/** The back end sent something that is not an answer. */
+/** The backend sent an invalid response. */
 export class BackendProtocolError extends BackendError {
   readonly mayHaveRun = true;
 }
 
-/** The engine does not know the stream that was asked for. */
+/** The engine does not know the requested stream. */
 export class StreamUnknownError extends BackendError {
   readonly mayHaveRun = true;
 }
 
-/** The back end knows a newer attempt of the same call. */
+/** The backend has already seen a newer attempt of the same call. */
 export class AttemptFencedError extends BackendError {
   readonly mayHaveRun = false;
 }
--- a/src/backends/http-call.ts
+++ b/src/backends/http-call.ts
@@ -1,4 +1,4 @@
-/** One HTTP request to a back end, with its failures told apart. */
+/** Sends one HTTP request to a backend and classifies failures. */
 import type { Dispatcher } from 'undici';
 import { request } from 'undici';
 import {
@@ -16,18 +16,18 @@
   path: string;
   headers?: Record<string, string>;
   body?: unknown;
-  /** Longest time until the answer begins, in milliseconds. */
+  /** Maximum time until the response headers, in milliseconds. */
   headersTimeoutMs: number;
-  /** Longest silence while the answer comes, in milliseconds. */
+  /** Maximum time between two chunks of the response body, in milliseconds. */
   idleTimeoutMs: number;
 }
 
 const HTTP_OK = 200;
 const HTTP_NOT_FOUND = 404;
 const HTTP_CONFLICT = 409;
-const LARGEST_ERROR_BODY = 4_096;
+const MAX_ERROR_BODY_LENGTH = 4_096;
 
-/** Codes of failures that happen before any byte of the request is sent. */
+/** Error codes of failures before any byte of the request was sent. */
 const CONNECT_FAILURES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -36,8 +36,8 @@
 ]);
 
 /**
- * Sends a request; resolves once a successful answer begins.
- * @throws BackendError of the kind that fits the failure
+ * Sends a request; resolves when the headers of a successful response arrive.
+ * @throws BackendError of the class that matches the failure
  */
 export async function callBackend(
   dispatcher: Dispatcher,
@@ -64,7 +64,7 @@
   const context = { step: options.step, peer: options.address, retriable: true, cause };
   const code = (cause as NodeJS.ErrnoException).code ?? '';
   if (CONNECT_FAILURES.has(code)) return new BackendUnreachableError('cannot connect', context);
-  return new BackendLostError('the connection broke before an answer', context);
+  return new BackendLostError('connection lost before the response', context);
 }
 
 async function refusalError(
@@ -81,14 +81,14 @@
     return new AttemptFencedError('a newer attempt is known', context);
   }
   if (code === undefined) {
-    return new BackendLostError(`answered with status ${response.statusCode}`, context);
+    return new BackendLostError(`unexpected status ${response.statusCode}`, context);
   }
   return new BackendRefusedError(`refused: ${code}`, code, context);
 }
 
-/** The `code` of a problem document; only those promise that nothing ran. */
+/** The `code` of a problem document that states that the request was not executed. */
 function readCode(text: string): string | undefined {
-  if (text.length > LARGEST_ERROR_BODY) return undefined;
+  if (text.length > MAX_ERROR_BODY_LENGTH) return undefined;
   try {
     const problem = JSON.parse(text) as { code?: unknown; outcome?: unknown };
     return problem.outcome === 'not_run' && typeof problem.code === 'string'
--- a/src/backends/index.ts
+++ b/src/backends/index.ts
@@ -1,4 +1,4 @@
-/** Back ends: model engines and small services, and what is known of each. */
+/** Backends (model engines and small services) and their tracked state. */
 export { Backend } from './backend.js';
 export { BackendTable } from './backend-table.js';
 export * from './engine-client.js';
--- a/src/backends/load-poller.ts
+++ b/src/backends/load-poller.ts
@@ -1,7 +1,6 @@
 /**
- * Keeps load reports of the watched engines fresh. Answers carry reports along; only engines that
- * have been silent for a while are asked, the longest silent first, within a bound on requests a
- * second, because the bandwidth for such things is bounded.
+ * Polls the load of monitored engines. Since responses to calls include load reports, only engines
+ * without a recent report are polled, oldest report first and at a limited rate.
  */
 import { Agent } from 'undici';
 import { monotonicMs, sleep } from '../common/index.js';
@@ -13,10 +12,9 @@
 
 export interface LoadPollerOptions {
   table: Pick<BackendTable, 'watchedEngines'>;
-  /** An engine is asked when its last report is older than this, in milliseconds. */
+  /** Age of the last report from which an engine is polled, in milliseconds. */
   maxAgeMs: number;
   maxPollsPerSecond: number;
-  /** Asks one engine. */
   fetchLoad: (backend: Backend) => Promise<LoadReport>;
 }
 
@@ -26,8 +24,8 @@
 
 export class LoadPoller {
   private readonly stopping = new AbortController();
-  private readonly busy = new Set<Backend>();
-  private allowance = 0;
+  private readonly polling = new Set<Backend>();
+  private pollTokens = 0;
 
   constructor(private readonly options: LoadPollerOptions) {}
 
@@ -45,43 +43,43 @@
     const tickMs = Math.max(MINIMUM_TICK_MS, MS_PER_SECOND / maxPollsPerSecond);
     const perTick = (maxPollsPerSecond * tickMs) / MS_PER_SECOND;
     while (!signal.aborted) {
-      this.allowance = Math.min(maxPollsPerSecond, this.allowance + perTick);
-      this.pollLongestSilent();
+      this.pollTokens = Math.min(maxPollsPerSecond, this.pollTokens + perTick);
+      this.pollOldest();
       await sleep(tickMs, signal);
     }
   }
 
-  private pollLongestSilent(): void {
-    while (this.allowance >= 1) {
-      const backend = this.longestSilent();
+  private pollOldest(): void {
+    while (this.pollTokens >= 1) {
+      const backend = this.oldestReport();
       if (!backend) return;
-      this.allowance -= 1;
+      this.pollTokens -= 1;
       void this.poll(backend);
     }
   }
 
-  private longestSilent(): Backend | undefined {
+  private oldestReport(): Backend | undefined {
     const latestMs = monotonicMs() - this.options.maxAgeMs;
-    let longest: Backend | undefined;
+    let oldest: Backend | undefined;
     for (const backend of this.options.table.watchedEngines) {
-      if (backend.reportedAtMs > latestMs || this.busy.has(backend)) continue;
-      if (!longest || backend.reportedAtMs < longest.reportedAtMs) longest = backend;
+      if (backend.reportedAtMs > latestMs || this.polling.has(backend)) continue;
+      if (!oldest || backend.reportedAtMs < oldest.reportedAtMs) oldest = backend;
     }
-    return longest;
+    return oldest;
   }
 
   private async poll(backend: Backend): Promise<void> {
-    this.busy.add(backend);
+    this.polling.add(backend);
     try {
       backend.noteReport(await this.options.fetchLoad(backend));
     } catch {
       backend.notePollFailure();
     }
-    this.busy.delete(backend);
+    this.polling.delete(backend);
   }
 }
 
-/** Asks engines over HTTP. */
+/** Fetches load reports over HTTP. */
 export class LoadFetcher {
   private readonly agent = new Agent({ connections: 1, connect: backendConnector(TIMEOUT_MS) });
 
--- a/src/backends/load-report.ts
+++ b/src/backends/load-report.ts
@@ -1,4 +1,4 @@
-/** An engine's own report of its load, which lags behind. */
+/** Load report of an engine, which is slightly outdated. */
 import { z } from 'zod';
 
 export const loadReportSchema = z.object({
--- a/src/backends/service-client.ts
+++ b/src/backends/service-client.ts
@@ -1,4 +1,4 @@
-/** Talks to small services: build status, log fetch, heartbeat, payments. */
+/** HTTP client of small services, such as build status, log retrieval, heartbeats and payments. */
 import { Agent } from 'undici';
 import { z } from 'zod';
 import { backendConnector } from '../http/index.js';
@@ -9,7 +9,7 @@
   service: string;
   operation: string;
   payload: string;
-  /** Names the call and its attempt; the same for every copy of one attempt. */
+  /** Identifies the call and its attempt; equal for all copies of one attempt. */
   executionKey: string;
 }
 
@@ -20,8 +20,8 @@
   private readonly agent = new Agent({ connect: backendConnector(CONNECT_TIMEOUT_MS) });
 
   /**
-   * Sends one call, once.
-   * @param timeoutMs longest time until the answer
+   * Sends one call without retries.
+   * @param timeoutMs maximum time until the response
    * @throws BackendError
    */
   async execute(address: string, call: ServiceCall, timeoutMs: number): Promise<string> {
@@ -40,7 +40,7 @@
     try {
       return answerSchema.parse(await response.body.json()).answer;
     } catch (cause) {
-      throw new BackendProtocolError('not an answer', {
+      throw new BackendProtocolError('invalid response body', {
         step: 'service.execute',
         peer: address,
         cause,
