--- a/src/routes/errors.ts
+++ b/src/routes/errors.ts
@@ -1,6 +1,6 @@
 import { LedgegaugeError } from '../common/index.js';
 
-/** A route configuration that may not come into force. */
+/** The route configuration is invalid and must not take effect. */
 export class InvalidRouteConfigurationError extends LedgegaugeError {
   constructor(reason: string) {
     super(reason, { step: 'routes.validate' });
--- a/src/routes/index.ts
+++ b/src/routes/index.ts
@@ -1,4 +1,4 @@
-/** Routes of forwarded calls: what operators declare, its checks, and the look-up. */
+/** Routes of forwarded calls: configuration, validation and lookup. */
 export * from './errors.js';
 export * from './route-configuration.js';
 export { CompiledRoute, RouteTable } from './route-table.js';
--- a/src/routes/route-configuration.ts
+++ b/src/routes/route-configuration.ts
@@ -1,12 +1,12 @@
 /**
- * What operators declare about forwarded calls: routes by host and path, the services they lead to,
- * and bounds on what callers may send.
+ * The operators' configuration of forwarded calls: routes by host and path, the services that they map
+ * to, tenants, and limits on requests.
  */
 
-/** What may be repeated on a route. */
+/** Retry semantics of a route. */
 export type RouteKind = 'repeatable' | 'at-most-once' | 'streaming';
 
-/** One weighted share of a route's calls. */
+/** A service with its weight in the distribution of a route's calls. */
 export interface RoutePart {
   service: string;
   weight: number;
@@ -15,39 +15,39 @@
 export interface Route {
   name: string;
   host: string;
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   pathPrefix: string;
   kind: RouteKind;
-  /** Longest time a call may be held, in milliseconds. */
+  /** Maximum duration of a call, in milliseconds. */
   timeoutMs: number;
-  /** Time within which an answer earns full credit, in milliseconds. */
+  /** Latency objective, in milliseconds. */
   objectiveMs: number;
   /** 0 is the most urgent. */
   priority: number;
   parts: RoutePart[];
-  /** Most back ends that one call attempt may be sent to. */
+  /** Maximum number of backends that one call may be sent to. */
   maxAttempts: number;
-  /** Whether the system keeps turns, so that a later turn carries its new input only. */
+  /** Whether turns are kept, so that a later turn sends only its new input. */
   retainsTurns: boolean;
-  /** How long a turn is kept after its answer, in milliseconds. */
+  /** How long a turn is kept after its response, in milliseconds. */
   retentionMs: number;
   hasSessionAffinity: boolean;
-  /** Whether a broken stream may be taken up again after a known event. */
+  /** Whether an interrupted stream can be resumed after a known event. */
   isResumable: boolean;
-  /** Whether callers need no key. @default false */
+  /** Whether calls without a key are allowed. @default false */
   isAnonymous?: boolean;
 }
 
-/** Somebody who calls with keys of their own, and how much they may ask for. */
+/** A customer with API keys and a rate limit. */
 export interface Tenant {
   name: string;
-  /** SHA-256 of each key, in hexadecimal digits; none for a tenant that has lost all its keys. */
+  /** SHA-256 hash of each key in hexadecimal; empty if all keys were revoked. */
   keyHashes: string[];
-  /** 0 is the most urgent; goes before the route's. @default the route's */
+  /** Overrides the route's priority; 0 is the most urgent. @default the route's */
   priority?: number;
-  /** Calls a second, of all gateways together; 0 for no limit. */
+  /** Calls per second over all gateways; 0 for no limit. */
   ratePerSecond: number;
-  /** Calls beyond the rate that may come at once. */
+  /** Calls beyond the rate that may arrive at once. */
   burst: number;
 }
 
@@ -60,12 +60,12 @@
 
 export interface Service {
   name: string;
-  /** Connections that one back end takes from all callers together. */
+  /** Maximum number of connections per backend from all gateways. */
   maxConnections: number;
   engine?: EngineProperties;
 }
 
-/** Bounds on callers' requests. */
+/** Limits on requests from callers. */
 export interface RequestLimits {
   maxHeaderBytes: number;
   maxBodyBytes: number;
@@ -74,11 +74,11 @@
 }
 
 export interface RouteConfiguration {
-  /** Chosen by operators; the highest prevails. */
+  /** Set by operators; the highest generation takes effect. */
   generation: number;
   routes: Route[];
   services: Service[];
   limits: RequestLimits;
-  /** Those whose keys callers need; absent where callers need none. */
+  /** Tenants whose keys are accepted; absent if calls need no key. */
   tenants?: Tenant[];
 }
--- a/src/routes/route-table.ts
+++ b/src/routes/route-table.ts
@@ -1,18 +1,18 @@
-/** Finds the route of a call: the longest prefix of its host that begins the path. */
+/** Finds the route of a call by host and longest path prefix. */
 import type { Route, RouteConfiguration, Service } from './route-configuration.js';
 import { WeightedRoundRobin } from './weighted-round-robin.js';
 
-/** A route together with the running state of its weighted choice. */
+/** A route with the state of its weighted round robin. */
 export class CompiledRoute {
-  private readonly choice: WeightedRoundRobin;
+  private readonly roundRobin: WeightedRoundRobin;
 
   constructor(readonly route: Route) {
-    this.choice = new WeightedRoundRobin(route.parts.map((part) => part.weight));
+    this.roundRobin = new WeightedRoundRobin(route.parts.map((part) => part.weight));
   }
 
-  /** The service that the next call goes to; shares follow the weights exactly over time. */
+  /** Selects the service of the next call. */
   nextService(): string {
-    return this.route.parts[this.choice.next()]!.service;
+    return this.route.parts[this.roundRobin.next()]!.service;
   }
 }
 
--- a/src/routes/routes.test.ts
+++ b/src/routes/routes.test.ts
@@ -1,4 +1,4 @@
-/** Checks of configurations, the look-up of routes, and weighted choices. */
+/** Validation of configurations, route lookup and weighted round robin. */
 import { describe, expect, it } from 'vitest';
 import { InvalidRouteConfigurationError } from './errors.js';
 import type { Route, RouteConfiguration, Tenant } from './route-configuration.js';
@@ -40,21 +40,21 @@
 }
 
 describe('validation', () => {
-  it('accepts a sound configuration', () => {
+  it('accepts a valid configuration', () => {
     expect(() => validateRouteConfiguration(configuration([route()]))).not.toThrow();
   });
 
   const invalid: [string, Route[]][] = [
     ['an unknown service', [route({ parts: [{ service: 'nobody', weight: 1 }] })]],
-    ['two routes at one place', [route(), route({ name: 'r2' })]],
-    ['two routes at one place, hosts in other case', [route(), route({ host: 'A.example' })]],
-    ['weights that sum to nothing', [route({ parts: [{ service: 's', weight: 0 }] })]],
+    ['two routes with the same host and prefix', [route(), route({ name: 'r2' })]],
+    ['two routes whose hosts differ only in case', [route(), route({ host: 'A.example' })]],
+    ['weights that sum to zero', [route({ parts: [{ service: 's', weight: 0 }] })]],
     ['a negative weight', [route({ parts: [{ service: 's', weight: -1 }] })]],
-    ['a time limit of nothing', [route({ timeoutMs: 0 })]],
-    ['a prefix without a slash at its end', [route({ pathPrefix: '/x' })]],
-    ['no part', [route({ parts: [] })]],
+    ['a timeout of zero', [route({ timeoutMs: 0 })]],
+    ['a prefix without a trailing slash', [route({ pathPrefix: '/x' })]],
+    ['no parts', [route({ parts: [] })]],
   ];
-  it.each(invalid)('refuses %s', (_name, routes) => {
+  it.each(invalid)('rejects %s', (_name, routes) => {
     expect(() => validateRouteConfiguration(configuration(routes))).toThrow(
       InvalidRouteConfigurationError,
     );
@@ -67,23 +67,23 @@
   }
 
   it.each([
-    ['none', undefined],
+    ['no tenants', undefined],
     ['an empty list', []],
-    ['one without keys', [tenant({ keyHashes: [] })]],
-    ['one that has a key twice', [tenant({ keyHashes: ['h1', 'h1'] })]],
-    ['two with keys of their own', [tenant(), tenant({ name: 'b', keyHashes: ['h2'] })]],
+    ['a tenant without keys', [tenant({ keyHashes: [] })]],
+    ['a tenant with a duplicate key', [tenant({ keyHashes: ['h1', 'h1'] })]],
+    ['two tenants with different keys', [tenant(), tenant({ name: 'b', keyHashes: ['h2'] })]],
   ])('accepts %s', (_, tenants) => {
-    const sound = { ...configuration([route()]), tenants };
-    expect(() => validateRouteConfiguration(sound)).not.toThrow();
+    const valid = { ...configuration([route()]), tenants };
+    expect(() => validateRouteConfiguration(valid)).not.toThrow();
   });
 
   it.each([
-    ['a key of two', [tenant(), tenant({ name: 'b' })], /a and b/],
-    ['a name of two', [tenant(), tenant({ keyHashes: ['h2'] })], /name a/],
-    ['no name', [tenant({ name: '' })], /no name/],
+    ['a key of two tenants', [tenant(), tenant({ name: 'b' })], /a and b/],
+    ['a duplicate name', [tenant(), tenant({ keyHashes: ['h2'] })], /name a/],
+    ['an empty name', [tenant({ name: '' })], /no name/],
     ['a negative rate', [tenant({ ratePerSecond: -1 })], /tenant a.*rate/],
     ['a negative burst', [tenant({ burst: -1 })], /tenant a.*burst/],
-  ])('refuses %s, names the tenant and no key', (_, tenants, expected) => {
+  ])('rejects %s, naming the tenant but no key', (_, tenants, expected) => {
     const validate = (): void =>
       validateRouteConfiguration({ ...configuration([route()]), tenants });
     expect(validate).toThrow(InvalidRouteConfigurationError);
@@ -101,28 +101,28 @@
     ]),
   );
 
-  it('takes the longest prefix that begins the path', () => {
+  it('selects the longest matching prefix', () => {
     expect(table.find('a.example', '/x/y/z')?.route.name).toBe('long');
     expect(table.find('a.example', '/x/yz')?.route.name).toBe('short');
   });
 
-  it('keeps hosts apart and ignores their case', () => {
+  it('matches hosts case-insensitively', () => {
     expect(table.find('B.EXAMPLE', '/x/1')?.route.name).toBe('other');
     expect(table.find('c.example', '/x/1')).toBeUndefined();
     expect(table.find('a.example', '/z/')).toBeUndefined();
   });
 });
 
-describe('weighted choice', () => {
+describe('weighted round robin', () => {
   it.each([
     [[90, 10], 1_000],
     [[1, 1, 2], 400],
     [[0, 5], 100],
-  ])('follows the weights %j exactly', (weights, rounds) => {
-    const choice = new WeightedRoundRobin(weights);
+  ])('distributes exactly by the weights %j', (weights, rounds) => {
+    const roundRobin = new WeightedRoundRobin(weights);
     const total = weights.reduce((sum, weight) => sum + weight, 0);
     const counts = weights.map(() => 0);
-    for (let round = 0; round < rounds; round += 1) counts[choice.next()]! += 1;
+    for (let round = 0; round < rounds; round += 1) counts[roundRobin.next()]! += 1;
     for (const [index, weight] of weights.entries()) {
       expect(Math.abs(counts[index]! - (rounds * weight) / total)).toBeLessThanOrEqual(1);
     }
--- a/src/routes/validate-configuration.ts
+++ b/src/routes/validate-configuration.ts
@@ -1,22 +1,22 @@
-/** The checks that every route configuration passes before it is replicated. */
+/** Validates route configurations before they are replicated. */
 import { InvalidRouteConfigurationError } from './errors.js';
 import type { Route, RouteConfiguration, Tenant } from './route-configuration.js';
 
-/** @throws InvalidRouteConfigurationError naming the first violated condition */
+/** @throws InvalidRouteConfigurationError with the first violated condition */
 export function validateRouteConfiguration(configuration: RouteConfiguration): void {
   const services = new Set(configuration.services.map((service) => service.name));
   require(services.size === configuration.services.length, 'two services have the same name');
-  const places = new Set<string>();
+  const hostPrefixes = new Set<string>();
   for (const route of configuration.routes) {
     validateRoute(route, services);
-    const place = `${route.host.toLowerCase()} ${route.pathPrefix}`;
-    require(!places.has(place), `two routes at ${place}`);
-    places.add(place);
+    const hostPrefix = `${route.host.toLowerCase()} ${route.pathPrefix}`;
+    require(!hostPrefixes.has(hostPrefix), `duplicate host and prefix ${hostPrefix}`);
+    hostPrefixes.add(hostPrefix);
   }
   validateTenants(configuration.tenants ?? []);
 }
 
-/** No complaint holds a key, or what a key could be found out by. */
+/** Error messages must not contain key hashes. */
 function validateTenants(tenants: readonly Tenant[]): void {
   const names = new Set<string>();
   const ownerByKey = new Map<string, string>();
@@ -39,15 +39,15 @@
   const { name, parts } = route;
   require(route.host.length > 0, `route ${name}: no host`);
   require(isPrefix(route.pathPrefix), `route ${name}: prefix must start and end with a slash`);
-  require(route.timeoutMs > 0, `route ${name}: time limit is not positive`);
-  require(route.maxAttempts >= 1, `route ${name}: fewer than one attempt`);
-  require(parts.length > 0, `route ${name}: leads nowhere`);
+  require(route.timeoutMs > 0, `route ${name}: timeoutMs is not positive`);
+  require(route.maxAttempts >= 1, `route ${name}: maxAttempts is less than 1`);
+  require(parts.length > 0, `route ${name}: no parts`);
   for (const part of parts) {
     require(services.has(part.service), `route ${name}: unknown service ${part.service}`);
     require(part.weight >= 0, `route ${name}: negative weight`);
   }
   const sum = parts.reduce((total, part) => total + part.weight, 0);
-  require(sum > 0, `route ${name}: weights sum to nothing`);
+  require(sum > 0, `route ${name}: sum of weights is zero`);
 }
 
 function isPrefix(prefix: string): boolean {
--- a/src/routes/weighted-round-robin.ts
+++ b/src/routes/weighted-round-robin.ts
@@ -1,16 +1,16 @@
 /**
- * Smooth weighted round robin: each choice raises every candidate by its weight and takes the
- * highest, which then pays the sum of all weights.
+ * Smooth weighted round robin: each step adds every candidate's weight to its current value and selects
+ * the highest, from which the sum of all weights is then subtracted.
  */
 export class WeightedRoundRobin {
   private readonly current: number[];
   private readonly total: number;
 
-  /** @param weights none negative, at least one positive */
+  /** @param weights non-negative, at least one positive */
   constructor(private readonly weights: readonly number[]) {
     this.current = weights.map(() => 0);
     this.total = weights.reduce((sum, weight) => sum + weight, 0);
-    this.skipAhead();
+    this.randomizeStart();
   }
 
   /** Index of the next candidate. */
@@ -24,8 +24,8 @@
     return best;
   }
 
-  /** Processes that all start at the same choice would skew the first calls of a route. */
-  private skipAhead(): void {
+  /** Starts at a random position; otherwise all processes would select the same first candidates. */
+  private randomizeStart(): void {
     if (this.weights.length < 2) return;
     const steps = Math.floor(Math.random() * 100);
     for (let step = 0; step < steps; step += 1) this.next();
