--- a/src/tenants/access.test.ts
+++ b/src/tenants/access.test.ts
@@ -1,4 +1,4 @@
-/** Who may call, and for how long a gateway trusts what it knows of keys. */
+/** Authorization by key, the lease of known keys, and scoped ids. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { sha256Hex } from '../common/index.js';
@@ -9,56 +9,55 @@
 const LEASE_MS = 4_500;
 const OFFICE = { name: 'office', keyHashes: [sha256Hex('k1')], ratePerSecond: 0, burst: 0 };
 const tenants = new TenantTable([OFFICE, { ...OFFICE, name: 'keyless', keyHashes: [] }]);
-const keyed = { isAnonymous: false };
-const open = { isAnonymous: true };
+const keyRoute = { isAnonymous: false };
+const anonymousRoute = { isAnonymous: true };
 
-function decide(route: typeof keyed, key: string | undefined, ageMs: number): string {
+function decide(route: typeof keyRoute, key: string | undefined, ageMs: number): string {
   return decideAccess(route, key, { tenants, ageMs, leaseMs: LEASE_MS }).kind;
 }
 
-describe('a call with a key', () => {
-  it('belongs to the tenant of its key', () => {
-    const decision = decideAccess(keyed, 'k1', { tenants, ageMs: 0, leaseMs: LEASE_MS });
+describe('authorization', () => {
+  it('assigns a call to the tenant of its key', () => {
+    const decision = decideAccess(keyRoute, 'k1', { tenants, ageMs: 0, leaseMs: LEASE_MS });
     expect(decision).toEqual({ kind: 'allowed', tenant: OFFICE });
   });
 
   it.each([
-    ['known, within the lease', keyed, 'k1', LEASE_MS - 1, 'allowed'],
-    ['known, as the lease ends', keyed, 'k1', LEASE_MS, 'uncertain'],
-    ['known, before any leader answered', keyed, 'k1', Infinity, 'uncertain'],
-    ['unknown, with fresh knowledge', keyed, 'k2', 0, 'unknown-key'],
-    ['unknown, where it may be new', keyed, 'k2', FRESH_KEYS_MAX_AGE_MS + 1, 'uncertain'],
-    ['none', keyed, undefined, 0, 'unknown-key'],
-    ['none, where the route may be open to all by now', keyed, undefined, 9_000, 'uncertain'],
-    ['empty', keyed, '', 0, 'unknown-key'],
-    ['none, on a route for everybody', open, undefined, 9_000, 'allowed'],
-    ['unknown, on a route for everybody', open, 'k2', 0, 'allowed'],
-    ['known, on a route for everybody, past the lease', open, 'k1', LEASE_MS, 'uncertain'],
+    ['known, within the lease', keyRoute, 'k1', LEASE_MS - 1, 'allowed'],
+    ['known, at the end of the lease', keyRoute, 'k1', LEASE_MS, 'uncertain'],
+    ['known, before any leader responded', keyRoute, 'k1', Infinity, 'uncertain'],
+    ['unknown, with a fresh snapshot', keyRoute, 'k2', 0, 'unknown-key'],
+    ['unknown, with a stale snapshot', keyRoute, 'k2', FRESH_KEYS_MAX_AGE_MS + 1, 'uncertain'],
+    ['none', keyRoute, undefined, 0, 'unknown-key'],
+    ['none, with a stale snapshot', keyRoute, undefined, 9_000, 'uncertain'],
+    ['empty', keyRoute, '', 0, 'unknown-key'],
+    ['none, on an anonymous route', anonymousRoute, undefined, 9_000, 'allowed'],
+    ['unknown, on an anonymous route', anonymousRoute, 'k2', 0, 'allowed'],
+    ['known, on an anonymous route, after the lease', anonymousRoute, 'k1', LEASE_MS, 'uncertain'],
   ])('%s', (_, route, key, ageMs, expected) => {
     expect(decide(route, key, ageMs)).toBe(expected);
   });
 
-  it('is needed by nobody where no tenants are declared, and good for nobody where none is left', () => {
-    const knowledge = { ageMs: Infinity, leaseMs: LEASE_MS };
+  it('requires no key without declared tenants and accepts no key with an empty list', () => {
+    const snapshot = { ageMs: Infinity, leaseMs: LEASE_MS };
     const none = new TenantTable(undefined);
     const empty = new TenantTable([]);
-    expect(decideAccess(keyed, undefined, { ...knowledge, tenants: none }).kind).toBe('allowed');
-    expect(decideAccess(keyed, 'k1', { tenants: empty, ageMs: 0, leaseMs: 1 }).kind).toBe(
+    expect(decideAccess(keyRoute, undefined, { ...snapshot, tenants: none }).kind).toBe('allowed');
+    expect(decideAccess(keyRoute, 'k1', { tenants: empty, ageMs: 0, leaseMs: 1 }).kind).toBe(
       'unknown-key',
     );
   });
 });
 
 /**
- * A leader stands still or is cut off, another one takes a key away, and a gateway hears only the old one: then
- * freezes, wakes, and sends what has waited. Times are drawn; the acknowledgement of the revocation comes after a
- * majority has left the old leader.
+ * Random schedules of a stale leader: the majority elects a new leader, which revokes a key, while a gateway still gets
+ * responses from the old one and sends calls after a delay.
  */
-describe('the lease of keys', () => {
+describe('key lease', () => {
   const BOUND_MS = 5_000;
   const step = fc.integer({ min: 0, max: 8_000 });
 
-  it('lets no call run that was sent later than the bound after the revocation', () => {
+  it('allows no call that is sent later than the bound after the revocation', () => {
     const schedule = fc.record({
       quorumLeft: step,
       untilAcknowledged: step,
@@ -70,13 +69,13 @@
       fc.property(schedule, (drawn) => {
         const acknowledgedAt = drawn.quorumLeft + drawn.untilAcknowledged;
         const leaderAnswersAt = drawn.asked + drawn.answeredAfter;
-        // The old leader can say no more of its majority than that it stood behind it until it left.
+        // The old leader was last confirmed when the majority left it.
         const confirmedAgeMs = Math.max(0, leaderAnswersAt - drawn.quorumLeft);
         const certainAt = drawn.asked - confirmedAgeMs;
         const decidedAt = leaderAnswersAt + drawn.decidedAfter;
         const ageMs = decidedAt - certainAt;
-        const knowledge = { tenants, ageMs, leaseMs: keyLeaseMs(BOUND_MS) };
-        const isAllowed = decideAccess(keyed, 'k1', knowledge).kind === 'allowed';
+        const snapshot = { tenants, ageMs, leaseMs: keyLeaseMs(BOUND_MS) };
+        const isAllowed = decideAccess(keyRoute, 'k1', snapshot).kind === 'allowed';
         const latestSendAt = decidedAt;
         expect(isAllowed && latestSendAt > acknowledgedAt + BOUND_MS).toBe(false);
       }),
@@ -84,15 +83,15 @@
     );
   });
 
-  it('outlasts the time for which calls are owed at a gateway out of touch', () => {
-    const owedShare = 0.6;
-    expect(keyLeaseMs(BOUND_MS)).toBeGreaterThan(owedShare * BOUND_MS + 600);
+  it('exceeds the time for which a disconnected gateway must serve calls', () => {
+    const requiredFraction = 0.6;
+    expect(keyLeaseMs(BOUND_MS)).toBeGreaterThan(requiredFraction * BOUND_MS + 600);
     expect(keyLeaseMs(undefined)).toBe(Infinity);
   });
 });
 
-describe('ids of tenants', () => {
-  it('differ wherever tenant or id differ', () => {
+describe('scoped ids', () => {
+  it('differ whenever tenant or id differ', () => {
     const name = fc.string({ unit: fc.constantFrom('a', '1', ':', '/'), maxLength: 4 });
     fc.assert(
       fc.property(name, name, name, name, (tenant, id, otherTenant, otherId) => {
--- a/src/tenants/index.ts
+++ b/src/tenants/index.ts
@@ -1,4 +1,4 @@
-/** Who calls, by the keys that operators give out, and for how long a process may trust what it knows of keys. */
+/** Authentication of callers by API key, with a bounded staleness of the keys known to a process. */
 export * from './access.js';
 export { scopedId } from './scoped-id.js';
 export { TenantTable } from './tenant-table.js';
--- a/src/tenants/scoped-id.ts
+++ b/src/tenants/scoped-id.ts
@@ -1,10 +1,10 @@
 /**
- * Ids that callers choose, made distinct by tenant: two tenants that use one id mean two things, and what one
- * tenant names is found among its own things only.
+ * Scopes caller-chosen ids by tenant, so that equal ids of different tenants do not collide and a tenant can only refer
+ * to its own objects.
  */
 
-/** @param tenant absent where callers have none; their ids stay as they are */
+/** @param tenant undefined for anonymous callers, whose ids are not changed */
 export function scopedId(tenant: string | undefined, id: string): string {
-  // The length keeps names and ids apart that hold the separator themselves.
+  // The length prefix makes the result unambiguous if names or ids contain the separator.
   return tenant === undefined ? id : `${tenant.length}:${tenant}:${id}`;
 }
