--- a/src/retention/index.ts
+++ b/src/retention/index.ts
@@ -1,2 +1,2 @@
-/** Retention of engine memory over a program's pauses. */
+/** Retention of cached prefixes on engines while a program pauses between calls. */
 export * from './hold-policy.js';
