--- a/src/forwarding/answer-end.ts
+++ b/src/forwarding/answer-end.ts
@@ -1,20 +1,20 @@
-/** How an answer says where it ends (RFC 9112, section 6.3). */
+/** Framing of HTTP response bodies (RFC 9112, section 6.3). */
 import { firstHeader, headerValues } from '../http/index.js';
 
-/** What marks the end of an answer. Anything else that ends a connection cuts the answer off. */
+/** What delimits the response body. If the connection ends in any other way, the response is incomplete. */
 export type ResponseFraming =
-  /** The end of its head: the answer has no body. */
+  /** The end of the head; the response has no body. */
   | 'head'
-  /** The byte that its length names. */
+  /** The Content-Length. */
   | 'length'
-  /** The chunk of size 0. */
+  /** The last chunk, of size 0. */
   | 'last-chunk'
-  /** The orderly close of its connection; a reset is none. */
+  /** The orderly close of the connection; not a reset. */
   | 'close';
 
 const STATUSES_WITHOUT_BODY: ReadonlySet<number> = new Set([204, 304]);
 
-/** @param rawHeaders names and values in turn */
+/** @param rawHeaders alternating names and values */
 export function responseFraming(
   method: string,
   status: number,
@@ -26,7 +26,7 @@
   return firstHeader(rawHeaders, 'content-length') === undefined ? 'close' : 'length';
 }
 
-/** Whether chunks are the last of the transfer codings. */
+/** Whether `chunked` is the last transfer coding. */
 function isChunked(codings: readonly string[]): boolean {
   const last = codings.join(',').split(',').at(-1)!;
   return last.trim().toLowerCase() === 'chunked';
--- a/src/forwarding/backend-connections.ts
+++ b/src/forwarding/backend-connections.ts
@@ -1,15 +1,14 @@
 /**
- * Connections to one back end: kept ones are reused, the most recent first, and no more are opened
- * than this process's share of what the back end takes.
+ * Connection pool of one backend. Idle connections are reused, the most recent first; the number of
+ * connections is limited to this process's share of the backend's limit.
  */
 import { Client, type Dispatcher } from 'undici';
 import { backendConnector } from '../http/index.js';
 
-/** Longest time until a connection is established, in milliseconds. */
 const CONNECT_TIMEOUT_MS = 450;
-/** Idle connections are closed before the back end is likely to close them, in milliseconds. */
+/** Idle timeout, shorter than the usual timeout of backends, in milliseconds. */
 const KEEP_ALIVE_MS = 4_000;
-/** Closed this much earlier than the back end announces, in milliseconds. */
+/** Margin subtracted from a keep-alive timeout announced by the backend, in milliseconds. */
 const KEEP_ALIVE_MARGIN_MS = 1_000;
 
 export type DispatchOptions = Pick<
@@ -17,13 +16,13 @@
   'path' | 'method' | 'headers' | 'body'
 >;
 
-/** One connection; carries one call at a time. */
+/** A connection that carries one call at a time. */
 export class BackendConnection {
   private isOpen = true;
 
   constructor(
     private readonly client: Client,
-    private readonly owner: BackendConnectionPool,
+    private readonly pool: BackendConnectionPool,
   ) {
     client.on('disconnect', () => this.discard());
     client.on('connectionError', () => this.discard());
@@ -33,16 +32,16 @@
     this.client.dispatch({ ...options, headersTimeout: 0, bodyTimeout: 0 }, handler);
   }
 
-  /** Gives the connection back after a whole answer; it is kept if it is still open. */
+  /** Returns the connection to the pool after a complete response. */
   release(): void {
-    if (this.isOpen) this.owner.keep(this);
+    if (this.isOpen) this.pool.keep(this);
   }
 
   /** Closes the connection. */
   discard(): void {
     if (!this.isOpen) return;
     this.isOpen = false;
-    this.owner.forget(this);
+    this.pool.forget(this);
     this.client.destroy().catch(() => undefined);
   }
 }
@@ -51,7 +50,7 @@
   private readonly idle: BackendConnection[] = [];
   private readonly open = new Set<BackendConnection>();
 
-  /** @param address `host:port` of the back end */
+  /** @param address `host:port` of the backend */
   constructor(
     private readonly address: string,
     private readonly limit: () => number,
@@ -62,8 +61,8 @@
   }
 
   acquire(): BackendConnection | undefined {
-    const kept = this.idle.pop();
-    if (kept) return kept;
+    const idleConnection = this.idle.pop();
+    if (idleConnection) return idleConnection;
     if (this.open.size >= this.limit()) return undefined;
     const client = new Client(`http://${this.address}`, {
       pipelining: 1,
@@ -88,7 +87,7 @@
     if (position >= 0) this.idle.splice(position, 1);
   }
 
-  /** Closes idle connections; those under way close when they are given back. */
+  /** Closes the idle connections. */
   closeIdle(): void {
     for (const connection of [...this.idle]) connection.discard();
   }
--- a/src/forwarding/backend-protocol.ts
+++ b/src/forwarding/backend-protocol.ts
@@ -1,38 +1,37 @@
-/** The protocol of back ends, as the product sees it; an adapter names the headers. */
+/** Interface of the backend protocol, implemented by an adapter that defines the headers. */
 import type { CallDescription } from './call-exchange.js';
 
-/** What one send adds to the call. */
+/** Parameters of one attempt. */
 export interface SendOptions {
-  /** Name of the back end that alone may run the call. */
+  /** Name of the only backend that may execute the call. */
   backendName: string;
-  /** How long the back end may work, in milliseconds; absent when nobody named a limit. */
+  /** Time that the backend has left, in milliseconds, if limited. */
   timeLeftMs?: number;
   /** 0 is the most urgent. */
   priority?: number;
-  /** Take a stream up after this event. */
+  /** Resume a stream after this event. */
   lastEventId?: string;
-  /** Name of the tenant that the call belongs to. */
   tenant?: string;
 }
 
 export interface RequestHead {
   method: string;
   target: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   headers: string[];
 }
 
-/** What the head of an answer says of itself. */
+/** The parsed head of a response. */
 export interface ParsedResponseHead {
-  /** The call that the answer belongs to, as the back end echoes it. */
+  /** Id of the call, as echoed by the backend. */
   callId?: string;
-  /** The back end states that it did not run the call. */
+  /** The backend states that it did not execute the call. */
   isNotExecuted: boolean;
-  /** Another incarnation has taken the address. */
+  /** Another incarnation is listening at the address. */
   isOtherIncarnation: boolean;
-  /** Whether the answer may be passed on as the back end's own. */
+  /** Whether the response was produced by the backend itself and may be relayed. */
   isAuthentic: boolean;
-  /** Names and values in turn, without those of one connection only. */
+  /** Alternating names and values, without hop-by-hop headers. */
   headers: string[];
 }
 
--- a/src/forwarding/backend-view.ts
+++ b/src/forwarding/backend-view.ts
@@ -1,4 +1,4 @@
-/** The back ends as one gateway knows them: registrations, its own calls, and its experiences. */
+/** One gateway's view of the backends: registrations, in-flight calls and observed health. */
 import { monotonicMs } from '../common/index.js';
 import type { BackendLoad, BackendRecord } from '../directory/index.js';
 import { SlowdownEstimator, LatencyModel } from '../performance/index.js';
@@ -6,39 +6,37 @@
 import { BackendConnectionPool } from './backend-connections.js';
 import { PromptCacheView } from './prompt-cache-view.js';
 
-const FIRST_SUSPICION_MS = 500;
-const LONGEST_SUSPICION_MS = 5_000;
-/** A back end that owes answers is suspect after so long without a byte, in milliseconds. */
-const MUTE_AFTER_MS = 700;
+const INITIAL_SUSPICION_MS = 500;
+const MAX_SUSPICION_MS = 5_000;
+/** Time without data after which a backend with calls in flight is unresponsive, in milliseconds. */
+const UNRESPONSIVE_AFTER_MS = 700;
 
-/** What one back end of a service can take. */
+/** Limits of the backends of a service. */
 export interface BackendLimits {
-  /** Connections that this gateway may open to it. */
+  /** Maximum number of connections from this gateway to one backend. */
   connections(service: string): number;
-  /** Tokens that it can keep, of all callers together. */
+  /** Capacity of the prompt cache of one backend, in tokens. */
   cacheTokens(service: string): number;
-  /** Gateways that send calls there. */
+  /** Number of gateways that send calls to the backends. */
   gateways(): number;
 }
 
-/** One back end and what this gateway does there. */
+/** State of one backend at this gateway. */
 export class BackendState {
-  /** Calls of this gateway under way here. */
+  /** Calls in flight from this gateway. */
   inFlight = 0;
-  /** Calls of the other gateways, as last told. */
+  /** Calls in flight from other gateways, as last reported. */
   otherInFlight = 0;
   readonly connections: BackendConnectionPool;
-  /** How much longer than others it takes for the same work. */
   readonly slowdown = new SlowdownEstimator();
   private readonly cache: PromptCacheView;
   private suspectUntil = 0;
   private failures = 0;
-  /** When this gateway last heard of it, or began to wait for it (monotonic, milliseconds). */
-  private heardAt = 0;
+  /** When data was last received, or the first of the calls in flight was sent (monotonic, milliseconds). */
+  private dataReceivedAt = 0;
 
   constructor(
     public record: BackendRecord,
-    /** How long calls of the service take. */
     readonly model: LatencyModel,
     private readonly limits: BackendLimits,
   ) {
@@ -47,7 +45,7 @@
     this.cache = new PromptCacheView(() => limits.cacheTokens(service) / limits.gateways());
   }
 
-  /** Typical calls that fit at once: by slots, and by the memory that their prompts take. */
+  /** Typical calls that the backend can process at once, limited by slots and by cache memory. */
   get capacity(): number {
     const { slots, service } = this.record;
     const { typicalPromptTokens } = this.model;
@@ -67,39 +65,38 @@
     return this.record.isSilent || monotonicMs() < this.suspectUntil || this.isUnresponsive;
   }
 
-  /** Whether answers are due here and not a byte has come for a while. */
+  /** Whether calls are in flight and no data was received for a while. */
   get isUnresponsive(): boolean {
-    return this.inFlight > 0 && monotonicMs() - this.heardAt > MUTE_AFTER_MS;
+    return this.inFlight > 0 && monotonicMs() - this.dataReceivedAt > UNRESPONSIVE_AFTER_MS;
   }
 
-  /** A call is sent here. */
+  /** Must be called when a call is sent. */
   beginCall(parts: readonly PromptPart[]): void {
-    if (this.inFlight === 0) this.heardAt = monotonicMs();
+    if (this.inFlight === 0) this.dataReceivedAt = monotonicMs();
     this.inFlight += 1;
     this.cache.noteSent(parts);
     if (parts.length > 0) this.model.notePrompt(parts.reduce((sum, { tokens }) => sum + tokens, 0));
   }
 
-  /** A call that was sent here is over. */
+  /** Must be called when a call has ended. */
   endCall(): void {
     this.inFlight -= 1;
   }
 
-  /** Bytes of an answer came in. */
   noteDataReceived(): void {
-    this.heardAt = monotonicMs();
+    this.dataReceivedAt = monotonicMs();
   }
 
-  /** A call failed in a way that speaks against the back end. */
+  /** Marks the backend as suspect, with exponential backoff. */
   noteFailure(): void {
-    const suspicion = Math.min(LONGEST_SUSPICION_MS, FIRST_SUSPICION_MS * 2 ** this.failures);
+    const suspicionMs = Math.min(MAX_SUSPICION_MS, INITIAL_SUSPICION_MS * 2 ** this.failures);
     this.failures += 1;
-    this.suspectUntil = monotonicMs() + suspicion;
+    this.suspectUntil = monotonicMs() + suspicionMs;
   }
 
   /**
-   * A call was answered whole with an error of the back end's own. One that fails all calls answers them at once: by its
-   * load and its pace it would draw more calls than any other. What was sent before it was suspect says nothing more.
+   * Records a complete error response. A backend that fails all calls immediately looks fast and idle and would attract
+   * calls. Errors while it is already suspect are ignored, because their calls were sent earlier.
    */
   noteErrorResponse(): void {
     if (monotonicMs() >= this.suspectUntil) this.noteFailure();
@@ -110,12 +107,12 @@
     this.suspectUntil = 0;
   }
 
-  /** @param time on the monotonic clock, in milliseconds */
+  /** @param time monotonic, in milliseconds */
   hasSentDataSince(time: number): boolean {
-    return this.heardAt > time;
+    return this.dataReceivedAt > time;
   }
 
-  /** Tokens of a prompt that are not cached here, as far as this gateway's own calls tell. */
+  /** Estimated uncached tokens of a prompt, based on this gateway's own calls. */
   missingTokens(parts: readonly PromptPart[]): number {
     return this.cache.missingTokens(parts);
   }
@@ -128,7 +125,7 @@
 
   constructor(private readonly limits: BackendLimits) {}
 
-  /** Takes over the registered back ends; those that are gone get no further calls. */
+  /** Applies the registered backends; removed ones get no further calls. */
   update(records: readonly BackendRecord[]): void {
     const present = new Set(records.map((record) => record.id));
     for (const [id, backend] of this.backends) {
@@ -148,22 +145,22 @@
     }
   }
 
-  /** Gateways that send calls to these back ends, this one included. */
+  /** Number of gateways that send calls to the backends, including this one. */
   get gateways(): number {
     return this.limits.gateways();
   }
 
-  /** Back ends of a service that may be sent new calls. */
+  /** Backends of a service that accept new calls. */
   serving(service: string): readonly BackendState[] {
     return this.byService.get(service) ?? [];
   }
 
-  /** What a call of a service takes, in milliseconds. */
+  /** Mean latency of a call of a service, in milliseconds. */
   typicalMs(service: string): number {
     return this.modelOf(service).typicalMs;
   }
 
-  /** An incarnation answered that it is not the expected one: it gets no more calls. */
+  /** Removes a backend whose address is used by another incarnation. */
   drop(id: string): void {
     const backend = this.backends.get(id);
     if (!backend) return;
--- a/src/forwarding/buffered-answer.ts
+++ b/src/forwarding/buffered-answer.ts
@@ -1,4 +1,4 @@
-/** Collects a short answer and passes it on once it is whole; long ones are passed on as they come. */
+/** Buffers a short response until it is complete; long responses are relayed as they arrive. */
 import type { ResponseHead, CallExchange } from './call-exchange.js';
 import { CallerResponse } from './caller-response.js';
 import type { ResponseSink } from './send-attempt.js';
@@ -8,46 +8,46 @@
 export class BufferedResponse implements ResponseSink {
   private chunks: Buffer[] = [];
   private bytes = 0;
-  private readonly answer: CallerResponse;
+  private readonly callerResponse: CallerResponse;
 
   constructor(exchange: CallExchange) {
-    this.answer = new CallerResponse(exchange);
+    this.callerResponse = new CallerResponse(exchange);
   }
 
   get hasBegun(): boolean {
-    return this.answer.hasBegun;
+    return this.callerResponse.hasBegun;
   }
 
   get status(): number | undefined {
-    return this.answer.head?.status;
+    return this.callerResponse.head?.status;
   }
 
-  /** Forgets what a send that broke off has left. */
+  /** Discards the data of a failed attempt. */
   restart(): void {
-    this.answer.head = undefined;
+    this.callerResponse.head = undefined;
     this.chunks = [];
     this.bytes = 0;
   }
 
   onHead(head: ResponseHead): void {
-    this.answer.head = head;
+    this.callerResponse.head = head;
   }
 
   onData(chunk: Buffer): boolean {
-    if (this.hasBegun) return this.answer.pass(chunk);
+    if (this.hasBegun) return this.callerResponse.pass(chunk);
     this.chunks.push(chunk);
     this.bytes += chunk.length;
     if (this.bytes <= MAX_BUFFERED_BYTES) return true;
-    const collected = Buffer.concat(this.chunks);
+    const buffered = Buffer.concat(this.chunks);
     this.chunks = [];
-    return this.answer.pass(collected);
+    return this.callerResponse.pass(buffered);
   }
 
   end(): void {
-    this.answer.end(this.chunks.length > 0 ? Buffer.concat(this.chunks) : undefined);
+    this.callerResponse.end(this.chunks.length > 0 ? Buffer.concat(this.chunks) : undefined);
   }
 
   onceReadable(resume: () => void): void {
-    this.answer.onceReadable(resume);
+    this.callerResponse.onceReadable(resume);
   }
 }
--- a/src/forwarding/call-forwarder.test.ts
+++ b/src/forwarding/call-forwarder.test.ts
@@ -1,4 +1,4 @@
-/** What a gateway does with calls before it can send them anywhere. */
+/** Calls that arrive before the gateway has a configuration. */
 import { describe, expect, it } from 'vitest';
 import { sampleCall } from '../../tests/support/sample-call.js';
 import { SignalEvent, monotonicMs, sleep } from '../common/index.js';
@@ -62,7 +62,7 @@
 
 class StartingGateway {
   readonly forwarder: CallForwarder;
-  private readonly arrived = new SignalEvent();
+  private readonly routesChanged = new SignalEvent();
   private routes: RouteTable | undefined;
 
   constructor() {
@@ -73,7 +73,7 @@
     };
     this.forwarder = new CallForwarder({
       routes: () => this.routes,
-      waitForRoutes: (timeoutMs) => this.arrived.waitWithTimeout(timeoutMs),
+      waitForRoutes: (timeoutMs) => this.routesChanged.waitWithTimeout(timeoutMs),
       directoryAgeMs: () => 0,
       access: () => ({ kind: 'allowed', tenant: undefined }),
       quotas: {
@@ -96,12 +96,12 @@
 
   takeConfiguration(): void {
     this.routes = new RouteTable(CONFIGURATION);
-    this.arrived.notify();
+    this.routesChanged.notify();
   }
 }
 
-describe('a gateway that has just started', () => {
-  it('lets calls wait a moment for its first configuration', async () => {
+describe('a starting gateway', () => {
+  it('lets calls wait for the first configuration', async () => {
     const gateway = new StartingGateway();
     const exchange = callTo('/x');
     const handled = gateway.forwarder.handle(exchange);
@@ -112,7 +112,7 @@
     expect(exchange.refusal?.reason).toBe('no-backend');
   });
 
-  it('then refuses them, and says when to come back', async () => {
+  it('refuses calls after a timeout, with a retry delay', async () => {
     const exchange = callTo('/x');
     await new StartingGateway().forwarder.handle(exchange);
     expect(exchange.refusal?.reason).toBe('not-ready');
--- a/src/forwarding/call-forwarder.ts
+++ b/src/forwarding/call-forwarder.ts
@@ -1,4 +1,4 @@
-/** Takes calls from their arrival to their final answer: route, reservation, sends, settlement. */
+/** Handles calls from arrival to final response: routing, reservation, sending and settlement. */
 import { monotonicMs } from '../common/index.js';
 import type { LedgerClient } from '../ledger/index.js';
 import type { LogFields, Logger } from '../observability/index.js';
@@ -18,15 +18,13 @@
 import { RefusedError, type Reservation, TurnReservations } from './turn-reservations.js';
 
 export interface CallForwarderOptions {
-  /** The routes in force; undefined before the first configuration. */
+  /** The current routes; undefined before the first configuration. */
   routes: () => RouteTable | undefined;
-  /** Resolves when there are routes, or after a time in milliseconds. */
+  /** Resolves when routes are available or after the timeout. */
   waitForRoutes: (timeoutMs: number) => Promise<void>;
-  /** Time since the directory's leader last answered, in milliseconds. */
+  /** Time since the directory's leader last responded, in milliseconds. */
   directoryAgeMs: () => number;
-  /** Whether the owner of a key may call a route now. */
   access: (route: Route, key: string | undefined) => AccessDecision;
-  /** Limits of tenants. */
   quotas: Pick<GatewayQuotas, 'take' | 'giveBack' | 'describe'>;
   backends: BackendView;
   placement: Placement;
@@ -36,39 +34,39 @@
   metrics: ForwardingMetrics;
 }
 
-/** An unknown route may be one that was added lately, if the directory is older than this. */
-const ROUTE_NEWS_AGE_MS = 1_500;
-/** How long a call may wait for the first configuration of a process that starts, in milliseconds. */
-const FIRST_ROUTES_WAIT_MS = 400;
-/** When to come back after passing troubles, at the soonest, in milliseconds. */
-const RETRY_SOON_MS = 150;
-/** Another gateway most likely has routes; one that starts takes twice as long, in milliseconds. */
-const RETRY_NOT_READY_MS = 300;
-/** Callers refused together come back spread over this share of the time that they were told. */
-const RETRY_SPREAD = 0.5;
+/** Maximum age of the directory data by which an unknown route is rejected; with older data it may be new. */
+const FRESH_ROUTES_MAX_AGE_MS = 1_500;
+/** Maximum time that a call waits for the first configuration after startup, in milliseconds. */
+const INITIAL_ROUTES_TIMEOUT_MS = 400;
+/** Minimum retry delay, in milliseconds. */
+const MIN_RETRY_MS = 150;
+/** Retry delay while this gateway starts up, in milliseconds; another gateway is probably ready. */
+const NOT_READY_RETRY_MS = 300;
+/** Jitter of retry delays, as a fraction of the delay. */
+const RETRY_JITTER = 0.5;
 
-/** A call that has its final answer, for the log. */
+/** A finished call, for the log. */
 interface FinishedCall {
   exchange: CallExchange;
   route: CompiledRoute | undefined;
   tenant?: Tenant;
   ending: CallOutcome;
-  /** What a refusal went by. */
+  /** Details of a refusal. */
   details?: LogFields;
-  /** Absent when the call was refused before it was sent anywhere. */
+  /** Absent if the call was refused before it was sent. */
   run?: CallRun;
   reservation?: Reservation;
-  /** How long its end was held until the turn was kept, in milliseconds. */
+  /** How long the end of the response was delayed until the turn was kept, in milliseconds. */
   keepMs?: number;
 }
 
-/** A call that may be sent, once its turn's tokens are set aside. */
-interface TakenCall {
+/** An admitted call, whose tokens are not reserved yet. */
+interface AdmittedCall {
   exchange: CallExchange;
   route: CompiledRoute;
   service: string;
   tenant: Tenant | undefined;
-  /** Monotonic time by which it must have its final answer, in milliseconds. */
+  /** Deadline of the final response (monotonic, milliseconds). */
   deadlineMs: number;
 }
 
@@ -88,12 +86,12 @@
     });
   }
 
-  /** Resolves when the call has its final answer. */
+  /** Resolves when the call has its final response. */
   async handle(exchange: CallExchange): Promise<void> {
     let route: CompiledRoute | undefined;
     try {
       await this.stallGuard.waitAfterStall();
-      if (!this.options.routes()) await this.options.waitForRoutes(FIRST_ROUTES_WAIT_MS);
+      if (!this.options.routes()) await this.options.waitForRoutes(INITIAL_ROUTES_TIMEOUT_MS);
       route = this.findRoute(exchange);
       if (exchange.isAbandoned) this.record({ exchange, route, ending: { kind: 'abandoned' } });
       else await this.forward(exchange, route);
@@ -105,7 +103,7 @@
     }
   }
 
-  /** Stops what runs beside the calls. */
+  /** Stops the background tasks. */
   stop(): void {
     this.stallGuard.stop();
   }
@@ -116,8 +114,8 @@
     const { host, path, id } = exchange.description;
     const route = table.find(host, path);
     if (!route) {
-      const mayBeNews = this.options.directoryAgeMs() > ROUTE_NEWS_AGE_MS;
-      throw new RefusedError(mayBeNews ? 'not-ready' : 'no-route');
+      const mayBeNew = this.options.directoryAgeMs() > FRESH_ROUTES_MAX_AGE_MS;
+      throw new RefusedError(mayBeNew ? 'not-ready' : 'no-route');
     }
     if (id === undefined) throw new RefusedError('missing-id');
     return route;
@@ -125,9 +123,9 @@
 
   private async forward(exchange: CallExchange, route: CompiledRoute): Promise<void> {
     const { description } = exchange;
-    const limitMs = Math.min(description.patienceMs ?? Infinity, route.route.timeoutMs);
-    const deadlineMs = exchange.arrivedAt + limitMs;
-    const tenant = this.identify(exchange, route);
+    const timeoutMs = Math.min(description.patienceMs ?? Infinity, route.route.timeoutMs);
+    const deadlineMs = exchange.arrivedAt + timeoutMs;
+    const tenant = this.authorize(exchange, route);
     const service = route.nextService();
     this.admit(exchange, tenant?.priority ?? route.route.priority, service);
     if (tenant) await this.takeToken(exchange, tenant);
@@ -139,8 +137,8 @@
     }
   }
 
-  /** @throws RefusedError when the turn's tokens can't be set aside */
-  private async serve(call: TakenCall): Promise<void> {
+  /** @throws RefusedError if the turn's tokens cannot be reserved */
+  private async serve(call: AdmittedCall): Promise<void> {
     const { exchange, route, service, tenant, deadlineMs } = call;
     const { description } = exchange;
     const typicalMs = this.options.backends.typicalMs(service);
@@ -156,29 +154,29 @@
       placement: this.options.placement,
       promptHolder: reservation?.lastBackend,
       tenant: tenant?.name,
-      denial: () => this.denialOf(exchange, route),
+      denial: () => this.currentDenial(exchange, route),
       protocol: this.options.protocol,
     });
     const ending = await run.run();
     if (tenant && !run.hasRun) this.options.quotas.giveBack(tenant.name);
-    this.noteEnd(exchange, run, ending);
-    const ranAt = monotonicMs();
+    this.reportToAdmission(exchange, run, ending);
+    const endedAt = monotonicMs();
     const final = reservation
       ? await this.turns.settle({ exchange, run, ending, route, reservation, deadlineMs })
       : ending;
-    const keepMs = monotonicMs() - ranAt;
+    const keepMs = monotonicMs() - endedAt;
     this.finish(exchange, run, final);
     this.record({ exchange, route, tenant, ending: final, run, reservation, keepMs });
   }
 
-  /** @throws RefusedError when the caller may not call the route, or that can't be told */
-  private identify({ description }: CallExchange, { route }: CompiledRoute): Tenant | undefined {
+  /** @throws RefusedError if the caller is not authorized, or authorization cannot be determined */
+  private authorize({ description }: CallExchange, { route }: CompiledRoute): Tenant | undefined {
     const decision = this.options.access(route, description.apiKey);
     if (decision.kind === 'allowed') return decision.tenant;
     throw new RefusedError(reasonOf(decision));
   }
 
-  /** @throws RefusedError when the tenant is beyond its limit, or that can't be told */
+  /** @throws RefusedError if the tenant exceeds its limit, or that cannot be determined */
   private async takeToken({ description }: CallExchange, { name }: Tenant): Promise<void> {
     const { quotas } = this.options;
     const isModelCall = description.promptParts.length > 0;
@@ -189,7 +187,7 @@
     throw new RefusedError(reason, decision.retryAfterMs, details);
   }
 
-  private denialOf(
+  private currentDenial(
     { description }: CallExchange,
     { route }: CompiledRoute,
   ): RefusalReason | undefined {
@@ -197,7 +195,7 @@
     return decision.kind === 'allowed' ? undefined : reasonOf(decision);
   }
 
-  /** @throws RefusedError when a new program finds its service overloaded */
+  /** @throws RefusedError if the call starts a new program and its service is overloaded */
   private admit({ description }: CallExchange, priority: number, service: string): void {
     if (description.promptParts.length === 0) return;
     const engines = this.options.backends.serving(service);
@@ -207,7 +205,7 @@
     throw new RefusedError('not-admitted', drainMs);
   }
 
-  private noteEnd(
+  private reportToAdmission(
     { description: call, arrivedAt }: CallExchange,
     run: CallRun,
     ending: CallOutcome,
@@ -221,7 +219,7 @@
     this.admission.noteEnd(turn, engines, this.options.backends.gateways);
   }
 
-  /** Gives the caller its final answer. */
+  /** Sends the final response to the caller. */
   private finish(exchange: CallExchange, run: CallRun, final: CallOutcome): void {
     switch (final.kind) {
       case 'answered':
@@ -242,12 +240,12 @@
     return this.options.routes()?.service(service)?.engine?.tokensPerEvent ?? 1;
   }
 
-  /** @param expectedMs when what was missing will likely be there, if that is known */
+  /** @param expectedMs estimated time until a retry can succeed, if known */
   private refuse(exchange: CallExchange, reason: RefusalReason, expectedMs = 0): void {
     if (exchange.isAbandoned) return;
-    const leastMs = reason === 'not-ready' ? RETRY_NOT_READY_MS : RETRY_SOON_MS;
-    const spread = 1 + RETRY_SPREAD * Math.random();
-    exchange.refuse({ reason, retryAfterMs: Math.max(leastMs, expectedMs) * spread });
+    const minimumMs = reason === 'not-ready' ? NOT_READY_RETRY_MS : MIN_RETRY_MS;
+    const jitter = 1 + RETRY_JITTER * Math.random();
+    exchange.refuse({ reason, retryAfterMs: Math.max(minimumMs, expectedMs) * jitter });
   }
 
   private record({
@@ -281,16 +279,16 @@
       ...details,
     };
     if (ending.kind === 'answered') this.options.logger.info('call', fields);
-    else this.options.logger.warn('call', { ...fields, ...this.situation(route) });
+    else this.options.logger.warn('call', { ...fields, ...this.gatewayState(route) });
   }
 
-  /** Loads up to which new programs are taken, as shares of the places of the route's services. */
+  /** Admission limits of the route's services, as fractions of their capacity. */
   private admissionLimitsOf({ route }: CompiledRoute): string {
     return route.parts.map(({ service }) => this.admission.limitOf(service).toFixed(2)).join(',');
   }
 
-  /** What this gateway knew when a call failed, and how old that was. */
-  private situation(route: CompiledRoute | undefined): LogFields {
+  /** State of this gateway at the time of a failed call, for the log. */
+  private gatewayState(route: CompiledRoute | undefined): LogFields {
     return {
       directoryAgeMs: Math.round(this.options.directoryAgeMs()),
       generation: this.options.routes()?.configuration.generation,
--- a/src/forwarding/call-log.ts
+++ b/src/forwarding/call-log.ts
@@ -1,4 +1,4 @@
-/** How a call that is over is worded in its log line. */
+/** Formats the log line of a finished call. */
 import type { ReservationTrace, ReservationTimings } from '../ledger/index.js';
 import type { LogFields } from '../observability/index.js';
 import type { CallExchange, ProgramContext } from './call-exchange.js';
@@ -27,7 +27,7 @@
   };
 }
 
-/** What a reservation went through; the leader's age is that of what this gateway knew before it asked. */
+/** Steps of a reservation; `leaderAgeMs` is the age of the leader information before the first request. */
 export function describeSteps(steps: ReservationTrace): LogFields {
   const { times, requestCount, knownLeader, leader, historyFrom, failedStep: failed } = steps;
   return {
@@ -40,12 +40,12 @@
   };
 }
 
-/** In milliseconds: waited in this gateway, asked the leader, read the history elsewhere. */
+/** Milliseconds queued in this gateway, waiting for the leader, and reading the history from another member. */
 function describeTimes({ windowMs, leaderMs, historyMs }: ReservationTimings): string {
   return [windowMs, leaderMs, historyMs].map(Math.round).join('+');
 }
 
-/** Each send as `backend@own load+others'-expected tokens to read/head/whole(expected):result`. */
+/** Each attempt as `backend@ownLoad+otherLoad-uncachedTokens/headMs/totalMs(expectedMs):result`. */
 export function describeSends(run: CallRun): string {
   return run.sends.map(describeSend).join(' ');
 }
--- a/src/forwarding/call-run.ts
+++ b/src/forwarding/call-run.ts
@@ -1,4 +1,4 @@
-/** One forwarded call from its placement to its final answer, written straight down. */
+/** Executes one forwarded call: selects backends and sends the call until it is answered or has failed. */
 import { monotonicMs } from '../common/index.js';
 import type { CompiledRoute } from '../routes/index.js';
 import type { CallWork, LatencyModel } from '../performance/index.js';
@@ -11,7 +11,6 @@
 import { SendAttempt, type SendResult } from './send-attempt.js';
 import { StreamRelay } from './stream-relay.js';
 
-/** How a call ended. */
 export type CallOutcome =
   | { kind: 'answered' }
   | { kind: 'refused'; reason: RefusalReason }
@@ -21,62 +20,60 @@
 export interface CallRunOptions {
   exchange: CallExchange;
   route: CompiledRoute;
-  /** The service that the call goes to. */
   service: string;
-  /** The whole body to send, with the history of earlier turns where there is one. */
+  /** The request body, including the history of earlier turns. */
   body: Buffer;
-  /** Monotonic time by which the call must have its final answer, in milliseconds. */
+  /** Deadline of the final response (monotonic, milliseconds). */
   deadlineMs: number;
   backends: BackendView;
   placement: Placement;
-  /** Id of the back end that most likely holds the prompt of the turns before, if that is known. */
+  /** Id of the backend that probably has the prompt of the previous turns cached, if known. */
   promptHolder?: string;
-  /** Name of the tenant that the call belongs to. */
   tenant?: string;
-  /** Why the caller may not be served any more, asked right before each send. */
+  /** Returns why the caller is no longer authorized, if so; called immediately before each attempt. */
   denial: () => RefusalReason | undefined;
   protocol: BackendProtocol;
 }
 
-/** One send, for the log. */
+/** One attempt, for the log. */
 export interface SendRecord {
   backend: string;
   result: SendResult['kind'];
   cause?: string;
-  /** Calls of this gateway, and of the others, that ran there when it was sent. */
+  /** Calls in flight from this gateway and from others when it was sent. */
   ownLoad: number;
   otherLoad: number;
-  /** Prompt tokens that it was expected to read. */
+  /** Estimated uncached prompt tokens. */
   missingTokens: number;
-  /** From the send to the head of the answer, in milliseconds. */
+  /** Time until the response head, in milliseconds. */
   headMs?: number;
-  /** From the send to its end, in milliseconds. */
+  /** Duration of the attempt, in milliseconds. */
   tookMs: number;
-  /** What a whole answer should have taken by the service's model, in milliseconds. */
+  /** Duration predicted by the service's latency model, in milliseconds. */
   expectedMs?: number;
 }
 
 const HTTP_SERVER_ERROR = 500;
-/** A call is sent again after broken answers so often at most. */
-const MAX_RESENDS = 2;
-/** A repeatable call is sent again after a silence of so many times its route's objective. */
-const SILENT_OBJECTIVES = 3;
-/** Share of the time left that such a silence may take. */
-const SILENT_TIME_SHARE = 0.4;
+/** Maximum number of retries after broken responses. */
+const MAX_RETRIES = 2;
+/** Response timeout of a repeatable call, as a multiple of its route's objective. */
+const RESPONSE_TIMEOUT_OBJECTIVES = 3;
+/** Maximum response timeout, as a fraction of the remaining time. */
+const RESPONSE_TIMEOUT_FRACTION = 0.4;
 
 export class CallRun {
   readonly sends: SendRecord[] = [];
   readonly response: StreamRelay | BufferedResponse;
   private readonly service: string;
   private readonly excluded = new Set<string>();
-  /** Back ends that may have received the call. */
+  /** Ids of backends that may have received the call. */
   private readonly sentTo = new Set<string>();
-  private stayWith: PlacementDecision | undefined;
+  private pinnedPlacement: PlacementDecision | undefined;
   private attempt: SendAttempt | undefined;
-  /** How long calls of the service take, once the call was sent. */
+  /** Latency model of the service, once the call was sent. */
   private model: LatencyModel | undefined;
-  private resends = 0;
-  /** When the latest send began (monotonic, milliseconds). */
+  private retries = 0;
+  /** Start of the latest attempt (monotonic, milliseconds). */
   private sentAt = 0;
   private mayHaveRun = false;
   private isOverdue = false;
@@ -91,13 +88,13 @@
         : new BufferedResponse(exchange);
   }
 
-  /** Id of the back end whose whole answer was passed on. */
+  /** Id of the backend whose complete response was relayed. */
   get answeredBy(): string | undefined {
     const last = this.sends.at(-1);
     return last?.result === 'complete' ? last.backend : undefined;
   }
 
-  /** Whether a back end may have run the call. */
+  /** Whether a backend may have executed the call. */
   get hasRun(): boolean {
     return this.mayHaveRun;
   }
@@ -106,7 +103,7 @@
     return this.service;
   }
 
-  /** What the call would take on back ends with nothing else to do, in milliseconds, once it was sent. */
+  /** Predicted latency on unloaded backends, in milliseconds, once the call was sent. */
   get unloadedMs(): number | undefined {
     const { promptParts } = this.options.exchange.description;
     const events = this.response instanceof StreamRelay ? this.response.events : 0;
@@ -116,7 +113,7 @@
     });
   }
 
-  /** Sends the call until it is answered or nothing more may be tried. Does not end the answer. */
+  /** Sends the call until it is answered or no further attempt is allowed. Does not end the response. */
   async run(): Promise<CallOutcome> {
     const { exchange, deadlineMs } = this.options;
     const timer = setTimeout(() => this.onDeadline(), Math.max(0, deadlineMs - monotonicMs()));
@@ -130,18 +127,18 @@
 
   private async sendUntilAnswered(): Promise<CallOutcome> {
     for (;;) {
-      const stopped = this.endingOfStop() ?? this.endingOfDenial();
+      const stopped = this.stopOutcome() ?? this.denialOutcome();
       if (stopped) return stopped;
-      const choice = this.nextBackend();
-      if (!choice) return this.endingWithoutBackend();
-      const result = await this.sendTo(choice);
-      const ending = this.judge(choice.backend, result);
-      if (ending) return ending;
+      const decision = this.selectBackend();
+      if (!decision) return this.outcomeWithoutBackend();
+      const result = await this.sendTo(decision);
+      const outcome = this.outcomeOf(decision.backend, result);
+      if (outcome) return outcome;
     }
   }
 
-  private nextBackend(): PlacementDecision | undefined {
-    if (this.stayWith) return this.stayWith;
+  private selectBackend(): PlacementDecision | undefined {
+    if (this.pinnedPlacement) return this.pinnedPlacement;
     if (this.sentTo.size >= this.options.route.route.maxAttempts) return undefined;
     const candidates = this.options.backends.serving(this.service);
     return this.options.placement.choose(candidates, {
@@ -153,7 +150,7 @@
 
   private async sendTo({ backend, missingTokens }: PlacementDecision): Promise<SendResult> {
     const connection = backend.connections.acquire();
-    if (!connection) return { kind: 'not-sent', cause: 'no connection left' };
+    if (!connection) return { kind: 'not-sent', cause: 'no connection available' };
     const attempt = this.createAttempt(backend, connection);
     this.model = backend.model;
     this.attempt = attempt;
@@ -161,7 +158,7 @@
     const { promptParts } = this.options.exchange.description;
     backend.beginCall(promptParts);
     this.sentAt = monotonicMs();
-    const timer = this.watchForSilence(attempt);
+    const timer = this.startResponseTimer(attempt);
     const result = await attempt.run();
     clearTimeout(timer);
     backend.endCall();
@@ -208,8 +205,8 @@
   }
 
   /**
-   * Tells the service's model and the back end's pace how long a whole answer took.
-   * @returns what the model had expected
+   * Feeds the duration of a complete response to the latency model and the slowdown estimator.
+   * @returns the predicted duration
    */
   private noteDuration(
     backend: BackendState,
@@ -226,92 +223,95 @@
     return expectedMs;
   }
 
-  /** The answer of a call that may be repeated is not waited for until the caller gives up. */
-  private watchForSilence(attempt: SendAttempt): NodeJS.Timeout | undefined {
+  /** Aborts the attempt of a repeatable call early enough that a retry can meet the deadline. */
+  private startResponseTimer(attempt: SendAttempt): NodeJS.Timeout | undefined {
     const { kind, objectiveMs } = this.options.route.route;
-    if (kind !== 'repeatable' || this.resends >= MAX_RESENDS) return undefined;
+    if (kind !== 'repeatable' || this.retries >= MAX_RETRIES) return undefined;
     const leftMs = this.options.deadlineMs - monotonicMs();
-    const silenceMs = Math.min(objectiveMs * SILENT_OBJECTIVES, leftMs * SILENT_TIME_SHARE);
-    return setTimeout(() => attempt.abortUnlessStarted(), silenceMs);
+    const responseTimeoutMs = Math.min(
+      objectiveMs * RESPONSE_TIMEOUT_OBJECTIVES,
+      leftMs * RESPONSE_TIMEOUT_FRACTION,
+    );
+    return setTimeout(() => attempt.abortUnlessStarted(), responseTimeoutMs);
   }
 
-  /** @returns the ending, or nothing when the call is to be sent once more */
-  private judge(backend: BackendState, result: SendResult): CallOutcome | undefined {
+  /** @returns the outcome, or undefined if the call is to be sent again */
+  private outcomeOf(backend: BackendState, result: SendResult): CallOutcome | undefined {
     switch (result.kind) {
       case 'complete':
-        return this.judgeComplete(backend);
+        return this.outcomeOfComplete(backend);
       case 'not-sent':
-        this.leave(backend);
+        this.exclude(backend);
         backend.noteFailure();
         return undefined;
       case 'not-executed':
-        this.leave(backend);
+        this.exclude(backend);
         if (result.isOtherIncarnation) this.options.backends.drop(backend.id);
         else this.sentTo.add(backend.id);
         return undefined;
       case 'stopped':
         if (result.wasSent) this.noteSent(backend);
-        return this.endingOfStop() ?? { kind: 'abandoned' };
+        return this.stopOutcome() ?? { kind: 'abandoned' };
       case 'broken':
         this.noteSent(backend);
-        // One lost answer says little of a back end that answers others.
+        // A single lost response is not a failure if the backend has sent other data since.
         if (!result.hadHead && !backend.hasSentDataSince(this.sentAt)) backend.noteFailure();
-        return this.judgeBroken(backend);
+        return this.outcomeOfBroken(backend);
     }
   }
 
-  private judgeComplete(backend: BackendState): CallOutcome | undefined {
+  private outcomeOfComplete(backend: BackendState): CallOutcome | undefined {
     this.noteSent(backend);
     if (this.isErrorAnswer) backend.noteErrorResponse();
     else backend.noteSuccess();
-    const isCut = this.response instanceof StreamRelay && this.response.hasPartialEvent;
-    return isCut ? this.judgeBroken(backend) : { kind: 'answered' };
+    const isTruncated = this.response instanceof StreamRelay && this.response.hasPartialEvent;
+    return isTruncated ? this.outcomeOfBroken(backend) : { kind: 'answered' };
   }
 
-  /** Whether the back end's answer is a failure of its own, which tells nothing of how long calls take. */
+  /** Whether the backend responded with a server error, whose latency is not representative. */
   private get isErrorAnswer(): boolean {
     return (this.response.status ?? 0) >= HTTP_SERVER_ERROR;
   }
 
-  /** After a broken answer the call goes on only where running it again is allowed. */
-  private judgeBroken(backend: BackendState): CallOutcome | undefined {
+  /** Retries after a broken response only if executing the call again is allowed. */
+  private outcomeOfBroken(backend: BackendState): CallOutcome | undefined {
     const { kind, maxAttempts } = this.options.route.route;
-    if (!this.mayRepeat || this.resends >= MAX_RESENDS) return this.endingOfBroken();
-    this.resends += 1;
+    if (!this.canRetry || this.retries >= MAX_RETRIES) return this.brokenOutcome();
+    this.retries += 1;
     this.response.restart();
-    // Resending to one that leaves would break what it was told when its leaving was acknowledged.
+    // A draining backend was promised no new calls when its draining was acknowledged.
     const isLeaving = !this.options.backends.serving(this.service).includes(backend);
-    const mayChange = (kind === 'repeatable' || isLeaving) && this.sentTo.size < maxAttempts;
-    if (mayChange && this.hasOther(backend)) this.excluded.add(backend.id);
-    else if (isLeaving) return this.endingOfBroken();
-    else this.stayWith = { backend, missingTokens: 0 };
+    const maySwitch = (kind === 'repeatable' || isLeaving) && this.sentTo.size < maxAttempts;
+    if (maySwitch && this.hasAlternative(backend)) this.excluded.add(backend.id);
+    else if (isLeaving) return this.brokenOutcome();
+    else this.pinnedPlacement = { backend, missingTokens: 0 };
     return undefined;
   }
 
-  private get mayRepeat(): boolean {
+  private get canRetry(): boolean {
     if (this.response instanceof StreamRelay) return this.response.canResume;
     return this.options.route.route.kind === 'repeatable' && !this.response.hasBegun;
   }
 
-  private hasOther(backend: BackendState): boolean {
+  private hasAlternative(backend: BackendState): boolean {
     return this.options.backends
       .serving(this.service)
       .some((other) => other !== backend && !this.excluded.has(other.id));
   }
 
-  private endingOfBroken(): CallOutcome {
+  private brokenOutcome(): CallOutcome {
     if (this.response.hasBegun) return { kind: 'broken-off' };
     return { kind: 'refused', reason: 'outcome-unknown' };
   }
 
-  private endingWithoutBackend(): CallOutcome {
-    if (this.mayHaveRun) return this.endingOfBroken();
+  private outcomeWithoutBackend(): CallOutcome {
+    if (this.mayHaveRun) return this.brokenOutcome();
     if (this.sentTo.size > 0) return { kind: 'refused', reason: 'not-executed' };
     const hasAny = this.options.backends.serving(this.service).length > 0;
     return { kind: 'refused', reason: hasAny ? 'overloaded' : 'no-backend' };
   }
 
-  private endingOfStop(): CallOutcome | undefined {
+  private stopOutcome(): CallOutcome | undefined {
     if (this.options.exchange.isAbandoned) return { kind: 'abandoned' };
     if (!this.isOverdue) return undefined;
     if (this.response.hasBegun) return { kind: 'broken-off' };
@@ -321,16 +321,16 @@
     };
   }
 
-  private endingOfDenial(): CallOutcome | undefined {
+  private denialOutcome(): CallOutcome | undefined {
     const reason = this.options.denial();
     if (reason === undefined) return undefined;
-    return this.mayHaveRun ? this.endingOfBroken() : { kind: 'refused', reason };
+    return this.mayHaveRun ? this.brokenOutcome() : { kind: 'refused', reason };
   }
 
-  private leave(backend: BackendState): void {
+  private exclude(backend: BackendState): void {
     this.excluded.add(backend.id);
-    this.stayWith = undefined;
-    // A back end that is gone does not count among those that the call was sent to.
+    this.pinnedPlacement = undefined;
+    // A backend that did not execute the call does not count towards the limit of attempts.
     this.sentTo.delete(backend.id);
   }
 
--- a/src/forwarding/caller-response.ts
+++ b/src/forwarding/caller-response.ts
@@ -1,49 +1,49 @@
-/** The way of one answer to its caller: its head once, then its parts, waiting for slow readers. */
+/** Writes one response to the caller: the head once, then the body, with backpressure. */
 import type { ResponseHead, CallExchange } from './call-exchange.js';
 
 export class CallerResponse {
-  /** Head of the answer, once a back end has sent one. */
+  /** Head of the response, once received from a backend. */
   head: ResponseHead | undefined;
-  private begun = false;
-  private isSlow = false;
+  private headSent = false;
+  private isBlocked = false;
   private resume: (() => void) | undefined;
 
   constructor(private readonly exchange: CallExchange) {
     exchange.onDrained(() => this.onDrained());
   }
 
-  /** Whether the caller has received a part of the answer. */
+  /** Whether a part of the response was sent to the caller. */
   get hasBegun(): boolean {
-    return this.begun;
+    return this.headSent;
   }
 
-  /** @returns false when the caller reads slowly; see `onceReadable` */
+  /** @returns false on backpressure; see `onceReadable` */
   pass(chunk: Buffer): boolean {
     this.begin();
-    this.isSlow = !this.exchange.write(chunk);
-    return !this.isSlow;
+    this.isBlocked = !this.exchange.write(chunk);
+    return !this.isBlocked;
   }
 
-  /** Ends the answer as complete. */
+  /** Ends the response as complete. */
   end(chunk?: Buffer): void {
     this.begin();
     this.exchange.end(chunk);
   }
 
-  /** Calls `resume`, and none that was named before, when the caller has read what waits for it. */
+  /** Calls `resume`, replacing any earlier callback, when the backpressure is over. */
   onceReadable(resume: () => void): void {
     this.resume = resume;
   }
 
   private onDrained(): void {
-    if (!this.isSlow) return;
-    this.isSlow = false;
+    if (!this.isBlocked) return;
+    this.isBlocked = false;
     this.resume?.();
   }
 
   private begin(): void {
-    if (this.begun || !this.head) return;
-    this.begun = true;
+    if (this.headSent || !this.head) return;
+    this.headSent = true;
     this.exchange.begin(this.head);
   }
 }
--- a/src/forwarding/error-responses.test.ts
+++ b/src/forwarding/error-responses.test.ts
@@ -1,6 +1,5 @@
 /**
- * Three engines of 32 failed all calls while their health looked good. They answered at once, so that by load and pace they
- * were the cheapest: of some 7,400 calls in 5.7 s 1,805 ended with their errors, where an even share would have been 690.
+ * Regression test: backends that failed all calls immediately looked fast and idle, so that placement preferred them.
  */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { sampleCall } from '../../tests/support/sample-call.js';
@@ -12,10 +11,10 @@
 
 const ENGINES = 32;
 const FAILING = 3;
-const SOUND_MS = 200;
+const SUCCESS_MS = 200;
 const ERROR_MS = 4;
-const CALL_EVERY_MS = 20;
-const LENGTH_MS = 6_000;
+const CALL_INTERVAL_MS = 20;
+const DURATION_MS = 6_000;
 const STEP_MS = 1;
 
 const RECORDS = Array.from({ length: ENGINES }, (_, index): BackendRecord => ({
@@ -54,8 +53,8 @@
   });
 }
 
-/** @returns the share of calls that ended with an error */
-function play(notesErrors: boolean): number {
+/** @returns the fraction of calls that failed */
+function errorRate(recordsErrors: boolean): number {
   const random = new SeededRandom(2);
   const limits = { connections: () => 10, cacheTokens: () => 1e9, gateways: () => 1 };
   const view = new BackendView(limits);
@@ -64,18 +63,18 @@
   let running: Call[] = [];
   let errors = 0;
   let calls = 0;
-  for (let now = 0; now < LENGTH_MS; now += STEP_MS) {
+  for (let now = 0; now < DURATION_MS; now += STEP_MS) {
     vi.advanceTimersByTime(STEP_MS);
-    for (const { backend, endsAt } of running) if (endsAt <= now) end(backend, notesErrors);
+    for (const { backend, endsAt } of running) if (endsAt <= now) end(backend, recordsErrors);
     running = running.filter(({ endsAt }) => endsAt > now);
-    if (now % CALL_EVERY_MS !== 0) continue;
+    if (now % CALL_INTERVAL_MS !== 0) continue;
     const call = callOf(calls);
     const candidates = view.serving('engines');
     const { backend } = placement.choose(candidates, { call, excluded: new Set() })!;
     backend.beginCall(call.promptParts);
     calls += 1;
     if (fails(backend)) errors += 1;
-    running.push({ backend, endsAt: now + (fails(backend) ? ERROR_MS : SOUND_MS) });
+    running.push({ backend, endsAt: now + (fails(backend) ? ERROR_MS : SUCCESS_MS) });
   }
   return errors / calls;
 }
@@ -84,19 +83,19 @@
   return Number(id.slice(1)) < FAILING;
 }
 
-function end(backend: BackendState, notesErrors: boolean): void {
+function end(backend: BackendState, recordsErrors: boolean): void {
   backend.noteDataReceived();
   backend.endCall();
-  if (fails(backend) && notesErrors) backend.noteErrorResponse();
+  if (fails(backend) && recordsErrors) backend.noteErrorResponse();
   else backend.noteSuccess();
 }
 
-describe('back ends that fail all calls at once', () => {
-  it('get a fraction of their even share', () => {
-    expect(play(true)).toBeLessThan(FAILING / ENGINES / 3);
+describe('backends that fail all calls immediately', () => {
+  it('get far fewer calls than an even distribution', () => {
+    expect(errorRate(true)).toBeLessThan(FAILING / ENGINES / 3);
   });
 
-  it('get more than that where their errors are taken for answers', () => {
-    expect(play(false)).toBeGreaterThan(FAILING / ENGINES / 2);
+  it('get more calls if error responses count as successes', () => {
+    expect(errorRate(false)).toBeGreaterThan(FAILING / ENGINES / 2);
   });
 });
--- a/src/forwarding/event-sequence.ts
+++ b/src/forwarding/event-sequence.ts
@@ -1,57 +1,57 @@
 /**
- * The ids of one stream's events, over all runs that it is made of. A run that takes the stream up
- * must go on with the event after the last one; anything else repeats events or leaves some out.
+ * Checks the event ids of a stream that consists of several runs. A run that resumes the stream must
+ * continue with the event after the last one; otherwise events would be repeated or lost.
  */
 
 const WHOLE_NUMBER = /^\d+$/;
-/** Streams whose ids count their events begin at 0 or at 1. */
+/** Streams whose ids count their events start at 0 or 1. */
 const HIGHEST_FIRST_COUNT = 1;
 
-/** Whether ids count the events, so that a gap shows, or rise by wider steps. */
+/** Whether ids count the events, so that gaps are detectable, or increase by larger steps. */
 type Numbering = 'unknown' | 'counting' | 'wide';
 
 export class EventSequence {
   private last: number | undefined;
-  /** Whether the next event is the first of its run, and follows events of another. */
-  private isAtSeam: boolean;
+  /** Whether the next event is the first of a run that resumes the stream. */
+  private isResuming: boolean;
   private numbering: Numbering = 'unknown';
-  /** Whether a run went on by more than one, which is a gap if ids turn out to count events. */
-  private hadWideSeam = false;
-  private isComparable = true;
+  /** Whether a run resumed with a step above 1, which is a gap if ids count the events. */
+  private hadWideResume = false;
+  private isOrdered = true;
 
-  /** @param lastEventId of the event that the caller has, if it takes the stream up */
+  /** @param lastEventId id of the last event that the caller has received, if it resumes a stream */
   constructor(lastEventId: string | undefined) {
     this.last = numberOf(lastEventId);
-    this.isAtSeam = this.last !== undefined;
+    this.isResuming = this.last !== undefined;
   }
 
-  /** Whether a run may take the stream up: its last id tells which events were passed on. */
+  /** Whether another run can resume the stream, because the last id identifies the events already relayed. */
   get canResume(): boolean {
-    return this.isComparable;
+    return this.isOrdered;
   }
 
-  /** Another run takes the stream up. */
+  /** Starts another run, which resumes the stream. */
   beginRun(): void {
-    this.isAtSeam = this.last !== undefined;
+    this.isResuming = this.last !== undefined;
   }
 
-  /** @returns false when the event is not the one that follows */
+  /** @returns false if the event is not the next one */
   take(id: string | undefined): boolean {
     const next = numberOf(id);
     if (next === undefined || this.last === undefined) return this.takeFirst(next);
     const step = next - this.last;
-    const follows = this.isAtSeam ? this.takeAtSeam(step) : this.takeWithinRun(step);
+    const follows = this.isResuming ? this.takeResumed(step) : this.takeWithinRun(step);
     if (!follows) return false;
-    this.isAtSeam = false;
+    this.isResuming = false;
     this.last = next;
     return true;
   }
 
-  /** An event without a number before it, or without one of its own. */
+  /** Handles events without a numeric id and the first event with one. */
   private takeFirst(next: number | undefined): boolean {
     if (next === undefined) {
-      if (this.isAtSeam) return false;
-      this.isComparable = false;
+      if (this.isResuming) return false;
+      this.isOrdered = false;
       return true;
     }
     if (next <= HIGHEST_FIRST_COUNT) this.numbering = 'counting';
@@ -59,19 +59,19 @@
     return true;
   }
 
-  private takeAtSeam(step: number): boolean {
+  private takeResumed(step: number): boolean {
     if (step <= 0) return false;
     if (step > 1 && this.numbering === 'counting') return false;
-    this.hadWideSeam ||= step > 1;
+    this.hadWideResume ||= step > 1;
     this.noteStepOfOne(step);
     return true;
   }
 
   private takeWithinRun(step: number): boolean {
-    if (step === 1 && this.hadWideSeam && this.numbering === 'unknown') return false;
+    if (step === 1 && this.hadWideResume && this.numbering === 'unknown') return false;
     if (step > 1) this.numbering = 'wide';
-    // A run's own order is its own matter, but it can't be taken up by its last id then.
-    if (step <= 0) this.isComparable = false;
+    // Any order is accepted within a run, but such a stream cannot be resumed by its last id.
+    if (step <= 0) this.isOrdered = false;
     this.noteStepOfOne(step);
     return true;
   }
--- a/src/forwarding/event-splitter.test.ts
+++ b/src/forwarding/event-splitter.test.ts
@@ -1,4 +1,3 @@
-/** Whole events out of arbitrary chunks. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { EventSplitter, dataOfEvent } from './event-splitter.js';
@@ -26,10 +25,10 @@
     expect(splitter.hasPartialEvent).toBe(false);
   });
 
-  it('gives the same events and loses no byte, however the stream is cut', () => {
-    const cuts = fc.array(fc.integer({ min: 0, max: STREAM.length }), { maxLength: 20 });
+  it('yields the same events and bytes for any chunking', () => {
+    const cutPositions = fc.array(fc.integer({ min: 0, max: STREAM.length }), { maxLength: 20 });
     fc.assert(
-      fc.property(cuts, (positions) => {
+      fc.property(cutPositions, (positions) => {
         const bounds = [0, ...positions.sort((left, right) => left - right), STREAM.length];
         const chunks = bounds
           .slice(1)
@@ -41,7 +40,7 @@
     );
   });
 
-  it('knows that it stands in the middle of an event', () => {
+  it('detects an incomplete event', () => {
     const { events, splitter } = split([Buffer.from('id: 1\ndata: a\n\nid: 2\nda')]);
     expect(events).toHaveLength(1);
     expect(splitter.hasPartialEvent).toBe(true);
--- a/src/forwarding/event-splitter.ts
+++ b/src/forwarding/event-splitter.ts
@@ -1,4 +1,4 @@
-/** Cuts a stream of server-sent events into whole events without decoding their text. */
+/** Splits a stream of server-sent events into complete events without decoding their text. */
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
@@ -7,9 +7,9 @@
 const ID_FIELD = Buffer.from('id');
 const DATA_FIELD = Buffer.from('data');
 
-/** One whole event. */
+/** A complete event. */
 export interface StreamEvent {
-  /** The event with the blank line that ends it. */
+  /** The raw event, including the terminating blank line. */
   bytes: Buffer;
   id?: string;
   hasData: boolean;
@@ -18,7 +18,7 @@
 export class EventSplitter {
   private pending: Buffer = Buffer.alloc(0);
 
-  /** Whether the stream stands in the middle of an event. */
+  /** Whether an incomplete event is buffered. */
   get hasPartialEvent(): boolean {
     return this.pending.length > 0;
   }
@@ -82,21 +82,21 @@
   return lineFeed < 0 ? bytes.length : lineFeed + 1;
 }
 
-/** Position after the last byte of the line at `start`, without what ends the line. */
+/** End position of the line at `start`, without the line terminator. */
 function endOfLine(bytes: Buffer, start: number): number {
   const lineFeed = bytes.indexOf(LINE_FEED, start);
   const end = lineFeed < 0 ? bytes.length : lineFeed;
   return end > start && bytes[end - 1] === CARRIAGE_RETURN ? end - 1 : end;
 }
 
-/** Whether the line begins with the field's name and a colon; compares in place, since this runs for each line. */
+/** Whether the line starts with the field's name and a colon; compares in place for speed. */
 function hasField(bytes: Buffer, start: number, end: number, field: Buffer): boolean {
   const colon = start + field.length;
   if (colon >= end || bytes[colon] !== COLON) return false;
   return field.every((byte, index) => bytes[start + index] === byte);
 }
 
-/** One space after the colon is no part of the value. */
+/** A single space after the colon is not part of the value. */
 function startOfValue(bytes: Buffer, start: number, end: number, field: Buffer): number {
   const afterColon = start + field.length + 1;
   return afterColon < end && bytes[afterColon] === SPACE ? afterColon + 1 : afterColon;
--- a/src/forwarding/forwarding-metrics.ts
+++ b/src/forwarding/forwarding-metrics.ts
@@ -6,7 +6,7 @@
 
 export class ForwardingMetrics {
   readonly registry = new Registry();
-  /** Time of reservations at the ledger, in seconds. */
+  /** Duration of reservations at the ledger, in seconds. */
   readonly reservation: Histogram;
   private readonly calls: Counter<'kind' | 'outcome'>;
   private readonly failedReservations: Counter<'step'>;
--- a/src/forwarding/index.ts
+++ b/src/forwarding/index.ts
@@ -1,4 +1,4 @@
-/** Forwarded calls: placement, sends, streams, and the ports that protocol adapters fill. */
+/** Forwarding of calls: placement, sending, stream relay, and the interfaces of protocol adapters. */
 export * from './backend-protocol.js';
 export { BackendView } from './backend-view.js';
 export * from './call-exchange.js';
--- a/src/forwarding/placement.test.ts
+++ b/src/forwarding/placement.test.ts
@@ -1,4 +1,3 @@
-/** Where calls are placed. */
 import { describe, expect, it } from 'vitest';
 import { sampleCall } from '../../tests/support/sample-call.js';
 import { rankForKey, SeededRandom, sleep } from '../common/index.js';
@@ -42,8 +41,8 @@
   gateways: () => 1,
 };
 
-/** Shows the gateway calls of engines that read 250 tokens in a millisecond. */
-function teach(view: BackendView): void {
+/** Trains the latency model with engines that prefill 250 tokens per millisecond. */
+function train(view: BackendView): void {
   const { model } = view.serving(SERVICE)[0]!;
   for (let call = 0; call < 200; call += 1) {
     const work = { missingTokens: (call * 37) % 8_000, load: call % 13, events: 5 + (call % 7) };
@@ -55,7 +54,7 @@
 function gateway(engines = records(), random = new SeededRandom(SEED)) {
   const view = new BackendView(NO_LIMITS);
   view.update(engines);
-  teach(view);
+  train(view);
   const placement = new Placement({ zone: 'z1', random: () => random.uniform() });
   const choose = (call: CallDescription, promptHolder?: string) =>
     placement.choose(view.serving(SERVICE), { call, excluded: NOTHING_EXCLUDED, promptHolder })!
@@ -63,14 +62,14 @@
   return { view, choose };
 }
 
-/** The engine of the gateway's zone that the hash of a shared beginning ranks first. */
-function likelyFirst(view: BackendView, beginning: number): BackendState {
+/** The engine of the gateway's zone that the hash of a shared prefix ranks first. */
+function firstPreferred(view: BackendView, prefix: number): BackendState {
   const near = view.serving(SERVICE).filter(({ record }) => record.zone === 'z1');
-  return rankForKey(`shared-${beginning}`, near, ({ id }) => id)[0]!;
+  return rankForKey(`shared-${prefix}`, near, ({ id }) => id)[0]!;
 }
 
 describe('placement', () => {
-  it('keeps a program where its prompt is cached', () => {
+  it('keeps a program on the backend with its cached prompt', () => {
     const { choose } = gateway();
     const first = choose(
       turn('p', [
@@ -93,35 +92,35 @@
     }
   });
 
-  it('brings programs that begin alike to few engines, whichever gateway they come through', () => {
-    const beginnings = 20;
+  it('places programs with the same prefix on few engines, at any gateway', () => {
+    const prefixes = 20;
     const programs = 30;
     const inTwoZones = records().map((record, index) => ({
       ...record,
       zone: index < 3 ? 'z1' : 'z2',
     }));
     let engines = 0;
-    for (let beginning = 0; beginning < beginnings; beginning += 1) {
+    for (let prefix = 0; prefix < prefixes; prefix += 1) {
       const chosen = new Set<string>();
       for (let program = 0; program < programs; program += 1) {
         const { view, choose } = gateway(inTwoZones);
         for (const state of view.serving(SERVICE)) state.otherInFlight = 4;
         const own = `own-${program}`;
-        const home = likelyFirst(view, beginning);
-        home.beginCall([{ id: `shared-${beginning}`, tokens: 12_000 }]);
-        home.endCall();
+        const preferred = firstPreferred(view, prefix);
+        preferred.beginCall([{ id: `shared-${prefix}`, tokens: 12_000 }]);
+        preferred.endCall();
         const parts: [string, number][] = [
-          [`shared-${beginning}`, 12_000],
+          [`shared-${prefix}`, 12_000],
           [own, 800],
         ];
         chosen.add(choose(turn(`program-${program}`, parts)).id);
       }
       engines += chosen.size;
     }
-    expect(engines / beginnings).toBeLessThan(2);
+    expect(engines / prefixes).toBeLessThan(2);
   });
 
-  it('sends a turn that came through another gateway to where the turns before ran', () => {
+  it('sends a turn to the backend of the previous turns, even if they came through another gateway', () => {
     for (let engine = 0; engine < ENGINES; engine += 1) {
       const { choose } = gateway();
       const call = turn('p', [
@@ -133,7 +132,7 @@
     }
   });
 
-  it('leaves the holder of a prompt that is full, failed lately, or is gone', () => {
+  it('leaves the backend with the cached prompt if it is full, suspect or removed', () => {
     const { view, choose } = gateway();
     const call = turn('p', [
       ['shared', 2_000],
@@ -148,21 +147,21 @@
     expect(choose(call, 'gone')).toBeDefined();
   });
 
-  it('leaves the cached prompt when waiting there costs more', () => {
+  it('leaves the backend with the cached prompt if queueing costs more', () => {
     const { choose } = gateway();
     const parts: [string, number][] = [
       ['shared', 2_000],
       ['own', 800],
       ['more', 100],
     ];
-    const home = choose(turn('p', parts));
-    home.beginCall(turn('p', parts).promptParts);
-    home.inFlight = SLOTS + 5;
+    const preferred = choose(turn('p', parts));
+    preferred.beginCall(turn('p', parts).promptParts);
+    preferred.inFlight = SLOTS + 5;
     const moved = Array.from({ length: 10 }, () => choose(turn('p', parts)).id);
-    expect(moved).not.toContain(home.id);
+    expect(moved).not.toContain(preferred.id);
   });
 
-  it('avoids back ends that failed lately or are silent, unless there are no others', () => {
+  it('avoids suspect backends unless there are no others', () => {
     const { view, choose } = gateway();
     const [first, ...others] = view.serving(SERVICE);
     for (const other of others) other.noteFailure();
@@ -171,26 +170,26 @@
     expect(choose(turn('p', [['a', 10]]))).toBeDefined();
   });
 
-  it('avoids a back end that owes answers and has not sent a byte for a while', async () => {
+  it('avoids an unresponsive backend with calls in flight', async () => {
     const { view, choose } = gateway();
-    // Reading it anew takes far longer than waiting beside one call, and than the tie-breaker adds.
+    // Prefill without the cache costs far more than one concurrent call and the random tie-breaker.
     const call = turn('p', [
       ['shared', 20_000],
       ['first', 800],
       ['second', 100],
     ]);
-    const [mute, busy] = view.serving(SERVICE);
-    mute!.beginCall([]);
+    const [unresponsive, busy] = view.serving(SERVICE);
+    unresponsive!.beginCall([]);
     busy!.beginCall([]);
     await sleep(800);
     busy!.noteDataReceived();
-    expect(choose(call, mute!.id).id).not.toBe(mute!.id);
+    expect(choose(call, unresponsive!.id).id).not.toBe(unresponsive!.id);
     expect(choose(call, busy!.id).id).toBe(busy!.id);
-    mute!.endCall();
-    expect(choose(call, mute!.id).id).toBe(mute!.id);
+    unresponsive!.endCall();
+    expect(choose(call, unresponsive!.id).id).toBe(unresponsive!.id);
   });
 
-  it('takes no back end that is leaving or has no connection left', () => {
+  it('selects no backend that is draining or has no free connection', () => {
     const view = new BackendView({ ...NO_LIMITS, connections: () => 0 });
     view.update(records());
     const random = new SeededRandom(SEED);
@@ -202,9 +201,9 @@
     expect(view.serving(SERVICE)).toHaveLength(0);
   });
 
-  it('does not let all gateways take the engine that an old figure shows as the least loaded', () => {
+  it('does not send all calls to the engine with the lowest outdated load', () => {
     const counts = new Map<string, number>();
-    // Three engines are no home of this beginning: each is taken by one program in forty to fifty.
+    // Three engines are not preferred for this prefix and are only selected at random.
     const programs = 1_000;
     const random = new SeededRandom(SEED);
     for (let index = 0; index < programs; index += 1) {
--- a/src/forwarding/placement.ts
+++ b/src/forwarding/placement.ts
@@ -1,4 +1,4 @@
-/** Chooses the back end of a call: where its prompt is cached, unless waiting costs more. */
+/** Selects the backend of a call by estimated cost: cached prompt tokens against queueing. */
 import { rankForKey } from '../common/index.js';
 import type { BackendState } from './backend-view.js';
 import { type CallDescription, isFirstTurn } from './call-exchange.js';
@@ -6,49 +6,47 @@
 export interface PlacementOptions {
   /** The zone of this gateway. */
   zone: string;
-  /** Numbers from 0 (included) to 1 (excluded), for what is drawn. @default Math.random */
+  /** Random numbers in [0, 1). @default Math.random */
   random?: () => number;
 }
 
-/** Share of a prompt's reading time that counts for each call that runs beside and is held up. */
-const READING_STALL_SHARE = 0.5;
-/** Share of a call's time by which a back end with all places taken is dearer than an idle one. */
-const SPREAD_SHARE = 0.1;
-/** Cost of a service call in another zone, in milliseconds. */
-const CROSS_ZONE_MS = 3;
-/** Cost of a model call in another zone, in milliseconds: its prompt is long. */
-const MODEL_CROSS_ZONE_MS = 12;
-/** Added for a back end that failed lately or is silent, in milliseconds. */
-const SUSPECT_MS = 10_000;
-/** Gain of the back end that saw the object of a plain call last, as a share of a call's time. */
-const AFFINITY_SHARE = 0.15;
-/** Back ends of this zone that a program is likely to be sent to, whichever gateway it comes through. */
-const LIKELY_HOMES = 2;
-/** Share of a zone's engines that programs with the same beginning of their prompts meet on. */
-const BEGINNING_SHARE = 0.67;
-/** How likely such a back end holds what this gateway never sent there. */
-const HOME_HIT_SHARE = 0.5;
-
-/** One call to be placed. */
+/** Fraction of the prefill time that is charged for each concurrent call, which it delays. */
+const PREFILL_DELAY_FRACTION = 0.5;
+/** Additional cost of a fully utilized backend, as a fraction of a call's latency. */
+const UTILIZATION_COST_FRACTION = 0.1;
+/** Additional cost of a service call to another zone, in milliseconds. */
+const CROSS_ZONE_COST_MS = 3;
+/** Additional cost of a model call, with its long prompt, to another zone, in milliseconds. */
+const MODEL_CROSS_ZONE_COST_MS = 12;
+/** Additional cost of a suspect backend, in milliseconds. */
+const SUSPECT_COST_MS = 10_000;
+/** Bonus of the backend with affinity to the object of a service call, as a fraction of a call's latency. */
+const AFFINITY_BONUS_FRACTION = 0.15;
+/** Number of preferred backends in this zone per program; equal at all gateways of the zone. */
+const PREFERRED_BACKENDS = 2;
+/** Fraction of the engines over which programs with the same prompt prefix are distributed. */
+const PREFIX_ENGINE_FRACTION = 0.67;
+/** Assumed probability that a preferred backend has cached a prompt sent by another gateway. */
+const PREFERRED_HIT_PROBABILITY = 0.5;
+
 export interface PlacementRequest {
   call: CallDescription;
-  /** Ids of back ends that are out of the question. */
+  /** Ids of backends that must not be selected. */
   excluded: ReadonlySet<string>;
-  /** Id of the back end that most likely holds the prompt of the turns before. */
+  /** Id of the backend that probably has the prompt of the previous turns cached. */
   promptHolder?: string;
 }
 
-/** A back end for a call. */
 export interface PlacementDecision {
   backend: BackendState;
-  /** Prompt tokens that it most likely has to read. */
+  /** Estimated uncached prompt tokens. */
   missingTokens: number;
 }
 
-/** What the cost of a back end follows from. */
+/** Inputs of the cost estimate. */
 interface CostInput {
   call: CallDescription;
-  homes: readonly BackendState[];
+  preferred: readonly BackendState[];
   promptHolder?: string;
 }
 
@@ -59,7 +57,7 @@
     this.random = options.random ?? Math.random;
   }
 
-  /** @returns the cheapest back end that has room, if any */
+  /** @returns the cheapest backend with a free connection, if any */
   choose(
     candidates: readonly BackendState[],
     { call, excluded, promptHolder }: PlacementRequest,
@@ -67,8 +65,8 @@
     const usable = candidates.filter(
       (candidate) => !excluded.has(candidate.id) && candidate.connections.hasRoom,
     );
-    const homes = likelyHomes(call, usable, this.options.zone);
-    const input = { call, homes, promptHolder };
+    const preferred = preferredBackends(call, usable, this.options.zone);
+    const input = { call, preferred, promptHolder };
     const isModelCall = call.promptParts.length > 0;
     const shortlist = isModelCall ? shortlistOf(usable, input, this.random) : usable;
     const backend = this.cheapest(shortlist, input) ?? this.cheapest(usable, input);
@@ -90,64 +88,67 @@
     return best;
   }
 
-  /** Time of the call there with the time it takes from the calls beside, in milliseconds. */
+  /** Estimated cost in milliseconds: latency of the call plus delay of concurrent calls. */
   private cost(backend: BackendState, input: CostInput): number {
     const isModelCall = input.call.promptParts.length > 0;
     const workMs = workMsAt(backend, missingTokensAt(backend, input)) + queueMsAt(backend);
-    const suspectMs = backend.isSuspect ? SUSPECT_MS : 0;
-    const crossZoneMs = isModelCall ? MODEL_CROSS_ZONE_MS : CROSS_ZONE_MS;
+    const suspectMs = backend.isSuspect ? SUSPECT_COST_MS : 0;
+    const crossZoneMs = isModelCall ? MODEL_CROSS_ZONE_COST_MS : CROSS_ZONE_COST_MS;
     const zoneMs = backend.record.zone === this.options.zone ? 0 : crossZoneMs;
-    const isHome = !isModelCall && input.homes[0] === backend;
-    const affinityMs = isHome ? AFFINITY_SHARE * backend.model.typicalMs : 0;
+    const isPreferred = !isModelCall && input.preferred[0] === backend;
+    const affinityMs = isPreferred ? AFFINITY_BONUS_FRACTION * backend.model.typicalMs : 0;
     return workMs + zoneMs + suspectMs - affinityMs;
   }
 }
 
-/** Time of the call itself, and what it holds up. */
+/** Latency of the call plus the delay of concurrent calls by its prefill. */
 function workMsAt({ load, model, slowdown }: BackendState, missingTokens: number): number {
-  const ordinaryMs = model.predictMs({ missingTokens, load, events: model.typicalEvents });
-  const ownMs = ordinaryMs * slowdown.factor;
-  const readingMs = model.msPerToken * missingTokens;
-  return ownMs + load * readingMs * READING_STALL_SHARE;
+  const normalMs = model.predictMs({ missingTokens, load, events: model.typicalEvents });
+  const ownMs = normalMs * slowdown.factor;
+  const prefillMs = model.msPerToken * missingTokens;
+  return ownMs + load * prefillMs * PREFILL_DELAY_FRACTION;
 }
 
-/** Wait for a place; the load is known a moment late only, so that nearly full costs as well. */
+/** Estimated queueing time. Since load figures are slightly outdated, high utilization is charged as well. */
 function queueMsAt({ load, model, capacity }: BackendState): number {
   const waiting = Math.max(0, load + 1 - capacity);
-  return (model.typicalMs * (waiting + SPREAD_SHARE * load)) / capacity;
+  return (model.typicalMs * (waiting + UTILIZATION_COST_FRACTION * load)) / capacity;
 }
 
-/** Tokens of the prompt that a back end most likely has to read. */
-function missingTokensAt(backend: BackendState, { call, homes, promptHolder }: CostInput): number {
+/** Estimated uncached tokens of the prompt at a backend. */
+function missingTokensAt(
+  backend: BackendState,
+  { call, preferred, promptHolder }: CostInput,
+): number {
   const own = call.promptParts.at(-1)?.tokens ?? 0;
   const missing = backend.missingTokens(call.promptParts);
   if (backend.id === promptHolder) return Math.min(own, missing);
   const isGuess = promptHolder === undefined && !isFirstTurn(call);
-  if (!isGuess || !homes.includes(backend)) return missing;
-  return own + (missing - own) * (1 - HOME_HIT_SHARE);
+  if (!isGuess || !preferred.includes(backend)) return missing;
+  return own + (missing - own) * (1 - PREFERRED_HIT_PROBABILITY);
 }
 
 /**
- * Few candidates for a model call: its likely homes, the back ends that are known to hold most of
- * its prompt, and one drawn at random. Gateways share load figures that are a moment old; if each of
- * them took the lowest of all, they would all take the same.
+ * Candidates for a model call: its preferred backends, the backends known to have its prompt cached, and
+ * a random one. Because gateways share slightly outdated load figures, they would all select the same
+ * backend if each took the least loaded one.
  */
 function shortlistOf(
   candidates: readonly BackendState[],
-  { call, homes, promptHolder }: CostInput,
+  { call, preferred, promptHolder }: CostInput,
   random: () => number,
 ): BackendState[] {
-  const shortlist = new Set(homes);
-  const holder = !isFirstTurn(call) && bestHolder(call, candidates);
-  if (holder) shortlist.add(holder);
-  const told = candidates.find(({ id }) => id === promptHolder);
-  if (told) shortlist.add(told);
-  const drawn = candidates[Math.floor(random() * candidates.length)];
-  if (drawn) shortlist.add(drawn);
+  const shortlist = new Set(preferred);
+  const cached = !isFirstTurn(call) && bestCached(call, candidates);
+  if (cached) shortlist.add(cached);
+  const knownHolder = candidates.find(({ id }) => id === promptHolder);
+  if (knownHolder) shortlist.add(knownHolder);
+  const randomCandidate = candidates[Math.floor(random() * candidates.length)];
+  if (randomCandidate) shortlist.add(randomCandidate);
   return [...shortlist].filter((candidate) => !candidate.isSuspect);
 }
 
-function bestHolder(
+function bestCached(
   call: CallDescription,
   candidates: readonly BackendState[],
 ): BackendState | undefined {
@@ -163,36 +164,41 @@
 }
 
 /**
- * Back ends that a call most likely belongs to: for a plain call the one that rendezvous hashing gives
- * its object; for a model call some of this zone, and one of all.
+ * Preferred backends of a call by rendezvous hashing: one for the object of a service call; several in
+ * this zone plus one in any zone for a model call.
  */
-function likelyHomes(
+function preferredBackends(
   call: CallDescription,
   candidates: readonly BackendState[],
   zone: string,
 ): BackendState[] {
-  const sound = candidates.filter((candidate) => !candidate.isSuspect);
+  const healthy = candidates.filter((candidate) => !candidate.isSuspect);
   if (call.promptParts.length === 0) {
     if (call.affinityKey === undefined) return [];
-    return rankForKey(call.affinityKey, sound, idOf).slice(0, 1);
+    return rankForKey(call.affinityKey, healthy, idOf).slice(0, 1);
   }
-  const near = sound.filter((candidate) => candidate.record.zone === zone);
-  return [...new Set([...homesAmong(near, call, LIKELY_HOMES), ...homesAmong(sound, call, 1)])];
+  const near = healthy.filter((candidate) => candidate.record.zone === zone);
+  return [
+    ...new Set([
+      ...preferredAmong(near, call, PREFERRED_BACKENDS),
+      ...preferredAmong(healthy, call, 1),
+    ]),
+  ];
 }
 
 /**
- * Programs whose prompts begin alike meet on a part of the engines, so that each engine keeps fewer
- * beginnings; each program is given a few of that part, so that they do not all take the same one.
+ * Programs with the same prompt prefix are distributed over a part of the engines, so that each engine
+ * has to cache fewer prefixes. Each program prefers a few engines of that part, which spreads the load.
  */
-function homesAmong(
+function preferredAmong(
   engines: readonly BackendState[],
   call: CallDescription,
   count: number,
 ): BackendState[] {
-  const beginning = call.promptParts[0]!.id;
-  const shared = Math.max(LIKELY_HOMES, Math.round(engines.length * BEGINNING_SHARE));
-  const holders = rankForKey(beginning, engines, idOf).slice(0, shared);
-  return rankForKey(call.program?.id ?? beginning, holders, idOf).slice(0, count);
+  const prefix = call.promptParts[0]!.id;
+  const shared = Math.max(PREFERRED_BACKENDS, Math.round(engines.length * PREFIX_ENGINE_FRACTION));
+  const holders = rankForKey(prefix, engines, idOf).slice(0, shared);
+  return rankForKey(call.program?.id ?? prefix, holders, idOf).slice(0, count);
 }
 
 function idOf(backend: BackendState): string {
--- a/src/forwarding/program-admission.test.ts
+++ b/src/forwarding/program-admission.test.ts
@@ -1,4 +1,4 @@
-/** Which programs are taken under more load than engines can bear: a seeded simulation, no sockets. */
+/** Simulation of program admission under overload. */
 import { describe, expect, it } from 'vitest';
 import { sampleCall } from '../../tests/support/sample-call.js';
 import { SeededRandom } from '../common/index.js';
@@ -9,25 +9,25 @@
 const SERVICE = 'engines';
 const TICK_MS = 10;
 const ENGINES = 4;
-const PLACES = 24;
-/** Work of a turn: reading that an engine does one after the other, and generating side by side. */
-const READING_MS = 100;
-const GENERATING_MS = 300;
-/** What each turn beside adds to the time of generating. */
-const NEIGHBOUR_SHARE = 0.03;
+const SLOTS = 24;
+/** Work of a turn: prefill, which an engine shares between turns, and concurrent generation. */
+const PREFILL_MS = 100;
+const GENERATION_MS = 300;
+/** Relative slowdown of generation per concurrent turn. */
+const SLOWDOWN_PER_TURN = 0.03;
 const TURNS = 4;
-const LIMIT_MS = 5_000;
-const MOST_SENDS = 3;
-const IDLE_MS = TURNS * (READING_MS + GENERATING_MS);
+const TURN_TIMEOUT_MS = 5_000;
+const MAX_SENDS = 3;
+const IDLE_MS = TURNS * (PREFILL_MS + GENERATION_MS);
 const OBJECTIVE_MS = 2.9 * IDLE_MS;
-/** Programs a second that the engines can just read. */
-const CAPACITY = (ENGINES * 1_000) / (READING_MS * TURNS);
+/** Maximum number of programs per second, limited by prefill. */
+const CAPACITY = (ENGINES * 1_000) / (PREFILL_MS * TURNS);
 
 const ROUTE = { priority: 0 } as Route;
 
 interface Program {
   id: string;
-  bornAt: number;
+  startedAt: number;
   turnsLeft: number;
   sends: number;
 }
@@ -35,8 +35,8 @@
 interface Turn {
   program: Program;
   sentAt: number;
-  readingMs: number;
-  generatingMs: number;
+  prefillMs: number;
+  generationMs: number;
 }
 
 interface Outcome {
@@ -47,7 +47,7 @@
 }
 
 function callOf(program: Program, now: number): CallDescription {
-  const remainingMs = Math.max(0, program.bornAt + OBJECTIVE_MS - now);
+  const remainingMs = Math.max(0, program.startedAt + OBJECTIVE_MS - now);
   const isFirst = program.turnsLeft === TURNS;
   return sampleCall({
     program: { id: program.id, remainingMs },
@@ -56,21 +56,21 @@
   });
 }
 
-/** Plays programs that arrive at a rate, with or without admission. */
+/** Simulates programs that arrive at a rate, with or without admission control. */
 class Simulation {
   readonly outcome: Outcome = { onTime: 0, refused: 0, limits: [] };
   private readonly admission = new ProgramAdmission();
   private readonly engines: Turn[][] = Array.from({ length: ENGINES }, () => []);
   private now = 0;
-  private born = 0;
+  private programCount = 0;
 
   constructor(
     private readonly random: SeededRandom,
-    private readonly isControlled: boolean,
+    private readonly hasAdmission: boolean,
   ) {}
 
-  /** @param rate programs a second */
-  play(seconds: number, rate: number): void {
+  /** @param rate programs per second */
+  run(seconds: number, rate: number): void {
     const end = this.now + seconds * 1_000;
     for (; this.now < end; this.now += TICK_MS) {
       if (this.random.chance((rate * TICK_MS) / 1_000)) this.arrive();
@@ -82,20 +82,20 @@
   }
 
   private get occupancy(): { load: number; capacity: number }[] {
-    return this.engines.map((engine) => ({ load: engine.length, capacity: PLACES }));
+    return this.engines.map((engine) => ({ load: engine.length, capacity: SLOTS }));
   }
 
   private arrive(): void {
-    const id = `program-${this.born}`;
-    this.born += 1;
-    const program = { id, bornAt: this.now, turnsLeft: TURNS, sends: 0 };
+    const id = `program-${this.programCount}`;
+    this.programCount += 1;
+    const program = { id, startedAt: this.now, turnsLeft: TURNS, sends: 0 };
     const admits = this.admission.admits(
       SERVICE,
       ROUTE.priority,
       callOf(program, this.now),
       this.occupancy,
     );
-    if (admits || !this.isControlled) this.send(program);
+    if (admits || !this.hasAdmission) this.send(program);
     else this.outcome.refused += 1;
   }
 
@@ -106,19 +106,19 @@
     engine.push({
       program,
       sentAt: this.now,
-      readingMs: READING_MS,
-      generatingMs: GENERATING_MS,
+      prefillMs: PREFILL_MS,
+      generationMs: GENERATION_MS,
     });
   }
 
   private work(engine: Turn[]): void {
-    const reading = engine.filter((turn) => turn.readingMs > 0).length;
-    const generatedMs = TICK_MS / (1 + NEIGHBOUR_SHARE * engine.length);
+    const prefilling = engine.filter((turn) => turn.prefillMs > 0).length;
+    const generatedMs = TICK_MS / (1 + SLOWDOWN_PER_TURN * engine.length);
     for (const turn of [...engine]) {
-      if (turn.readingMs > 0) turn.readingMs -= TICK_MS / reading;
-      else turn.generatingMs -= generatedMs;
-      const ranOutOfTime = this.now - turn.sentAt > LIMIT_MS;
-      if (turn.generatingMs > 0 && !ranOutOfTime) continue;
+      if (turn.prefillMs > 0) turn.prefillMs -= TICK_MS / prefilling;
+      else turn.generationMs -= generatedMs;
+      const ranOutOfTime = this.now - turn.sentAt > TURN_TIMEOUT_MS;
+      if (turn.generationMs > 0 && !ranOutOfTime) continue;
       engine.splice(engine.indexOf(turn), 1);
       this.end(turn, ranOutOfTime);
     }
@@ -130,32 +130,32 @@
     const turn = { service: SERVICE, call, ranOutOfTime, tookMs, unloadedMs: IDLE_MS / TURNS };
     this.admission.noteEnd(turn, this.occupancy, 1);
     if (ranOutOfTime) {
-      if (program.sends < MOST_SENDS) this.send(program);
+      if (program.sends < MAX_SENDS) this.send(program);
       return;
     }
     program.sends = 0;
     program.turnsLeft -= 1;
     if (program.turnsLeft > 0) this.send(program);
-    else if (this.now <= program.bornAt + OBJECTIVE_MS) this.outcome.onTime += 1;
+    else if (this.now <= program.startedAt + OBJECTIVE_MS) this.outcome.onTime += 1;
   }
 }
 
-/** Programs that end in time a second, at an offered load in shares of the capacity. */
-function goodput(offered: number, isControlled: boolean): number {
+/** Programs per second that finish in time. @param offered load as a fraction of the capacity */
+function goodput(offered: number, hasAdmission: boolean): number {
   const seconds = 90;
-  const simulation = new Simulation(new SeededRandom(1_003), isControlled);
-  simulation.play(seconds, offered * CAPACITY);
+  const simulation = new Simulation(new SeededRandom(1_003), hasAdmission);
+  simulation.run(seconds, offered * CAPACITY);
   return simulation.outcome.onTime / seconds;
 }
 
-describe('admission of programs', () => {
+describe('program admission', () => {
   it('refuses nothing while engines keep up', () => {
     const simulation = new Simulation(new SeededRandom(1_001), true);
-    simulation.play(60, 0.6 * CAPACITY);
+    simulation.run(60, 0.6 * CAPACITY);
     expect(simulation.outcome.refused).toBe(0);
   });
 
-  it('keeps the goodput up to twice the capacity, where it collapses without', () => {
+  it('maintains the goodput at up to twice the capacity, unlike without admission control', () => {
     const peak = Math.max(...[0.6, 0.8, 1].map((offered) => goodput(offered, true)));
     expect(goodput(1.5, false)).toBeLessThan(0.5 * peak);
     for (const offered of [1.25, 1.5, 2]) {
@@ -163,44 +163,44 @@
     }
   });
 
-  it('refuses nothing any more within seconds after a burst', () => {
+  it('stops refusing within seconds after a burst', () => {
     const simulation = new Simulation(new SeededRandom(1_002), true);
-    simulation.play(15, 2 * CAPACITY);
+    simulation.run(15, 2 * CAPACITY);
     expect(simulation.outcome.refused).toBeGreaterThan(30);
-    simulation.play(6, 0.4 * CAPACITY);
+    simulation.run(6, 0.4 * CAPACITY);
     const { refused } = simulation.outcome;
-    simulation.play(15, 0.4 * CAPACITY);
+    simulation.run(15, 0.4 * CAPACITY);
     expect(simulation.outcome.refused).toBe(refused);
   });
 
-  it('takes or refuses a program alike each time it asks, and never one that has begun', () => {
+  it('decides consistently for a program and never refuses a running one', () => {
     const admission = new ProgramAdmission();
-    const nearLimit = [{ load: 2.25 * PLACES, capacity: PLACES }];
+    const nearLimit = [{ load: 2.25 * SLOTS, capacity: SLOTS }];
     const answers = Array.from({ length: 200 }, (_, index) => {
-      const call = callOf({ id: `p${index}`, bornAt: 0, turnsLeft: TURNS, sends: 0 }, 0);
+      const call = callOf({ id: `p${index}`, startedAt: 0, turnsLeft: TURNS, sends: 0 }, 0);
       const first = admission.admits(SERVICE, ROUTE.priority, call, nearLimit);
       expect(admission.admits(SERVICE, ROUTE.priority, call, nearLimit)).toBe(first);
-      const begun = callOf({ id: `p${index}`, bornAt: 0, turnsLeft: 1, sends: 0 }, 0);
+      const begun = callOf({ id: `p${index}`, startedAt: 0, turnsLeft: 1, sends: 0 }, 0);
       expect(admission.admits(SERVICE, ROUTE.priority, begun, nearLimit)).toBe(true);
       return first;
     });
-    const taken = answers.filter(Boolean).length;
-    expect(taken).toBeGreaterThan(60);
-    expect(taken).toBeLessThan(140);
+    const admitted = answers.filter(Boolean).length;
+    expect(admitted).toBeGreaterThan(60);
+    expect(admitted).toBeLessThan(140);
   });
 
-  it('refuses programs of the least urgent route first', () => {
+  it('refuses programs of less urgent routes first', () => {
     const admission = new ProgramAdmission();
     const urgent = { priority: 0 } as Route;
-    const patient = { priority: 1 } as Route;
-    const full = [{ load: 1.92 * PLACES, capacity: PLACES }];
-    const takenOf = (route: Route): number =>
+    const lessUrgent = { priority: 1 } as Route;
+    const full = [{ load: 1.92 * SLOTS, capacity: SLOTS }];
+    const admittedOf = (route: Route): number =>
       Array.from({ length: 200 }, (_, index) => {
-        const call = callOf({ id: `p${index}`, bornAt: 0, turnsLeft: TURNS, sends: 0 }, 0);
+        const call = callOf({ id: `p${index}`, startedAt: 0, turnsLeft: TURNS, sends: 0 }, 0);
         return admission.admits(SERVICE, route.priority, call, full);
       }).filter(Boolean).length;
-    expect(takenOf(patient)).toBe(200);
-    expect(takenOf(urgent)).toBe(200);
-    expect(takenOf(patient)).toBeLessThan(100);
+    expect(admittedOf(lessUrgent)).toBe(200);
+    expect(admittedOf(urgent)).toBe(200);
+    expect(admittedOf(lessUrgent)).toBeLessThan(100);
   });
 });
--- a/src/forwarding/prompt-cache-view.test.ts
+++ b/src/forwarding/prompt-cache-view.test.ts
@@ -1,4 +1,3 @@
-/** What a gateway believes that a back end keeps of prompts. */
 import { describe, expect, it } from 'vitest';
 import type { PromptPart } from './call-exchange.js';
 import { PromptCacheView } from './prompt-cache-view.js';
@@ -13,8 +12,8 @@
   return [{ id: 'shared', tokens: 2_000 }, ...own];
 }
 
-describe('the view of a prompt cache', () => {
-  it('counts from the first part on that is missing', () => {
+describe('prompt cache view', () => {
+  it('counts tokens from the first uncached part on', () => {
     const view = new PromptCacheView(() => CAPACITY);
     expect(view.missingTokens(prompt(1, 2))).toBe(4_000);
     view.noteSent(prompt(1, 2));
@@ -23,7 +22,7 @@
     expect(view.missingTokens(prompt(2, 2))).toBe(2_000);
   });
 
-  it('takes a part as gone once more new tokens came than the back end keeps', () => {
+  it('considers a part evicted once more new tokens than the capacity were sent', () => {
     const view = new PromptCacheView(() => CAPACITY);
     view.noteSent(prompt(1, 2));
     for (let program = 2; program < 7; program += 1) view.noteSent(prompt(program, 2));
@@ -33,7 +32,7 @@
     expect(view.missingTokens(prompt(7, 2))).toBe(0);
   });
 
-  it('follows the capacity, which changes with the number of gateways', () => {
+  it('adapts to a change of the capacity', () => {
     let capacity = CAPACITY;
     const view = new PromptCacheView(() => capacity);
     for (let program = 1; program < 4; program += 1) view.noteSent(prompt(program, 2));
--- a/src/forwarding/response-framing.test.ts
+++ b/src/forwarding/response-framing.test.ts
@@ -1,4 +1,4 @@
-/** Which answers of a back end count as whole, by how their bytes and their connection ended. */
+/** Which responses count as complete, by their framing and the end of the connection. */
 import { afterEach, describe, expect, it } from 'vitest';
 import {
   RawBackend,
@@ -13,7 +13,7 @@
 import type { SendResult } from './send-attempt.js';
 
 const OWN_ID = 'call-1';
-const OWN = ownLines(OWN_ID).join('\r\n');
+const OWN_HEADERS = ownLines(OWN_ID).join('\r\n');
 
 let backend: RawBackend | undefined;
 afterEach(() => backend?.stop());
@@ -34,37 +34,37 @@
   return ['HTTP/1.1 200 OK', ...ownLines(OWN_ID), ...lines].join('\r\n') + '\r\n\r\n';
 }
 
-describe('an answer that ends with its connection', () => {
-  const beginning = head() + 'the first half, ';
+describe('close-delimited response', () => {
+  const partial = head() + 'the first half, ';
 
-  it('is whole after an orderly close', async () => {
-    const connections = await startBackend([write(`${beginning}the second`), close]);
+  it('is complete after an orderly close', async () => {
+    const connections = await startBackend([write(`${partial}the second`), close]);
     const { result, body } = await send(connections);
     expect(result).toMatchObject({ kind: 'complete', framing: 'close' });
     expect(body).toBe('the first half, the second');
   });
 
-  it('is broken when its connection is reset', async () => {
-    const connections = await startBackend([write(beginning), ...reset]);
+  it('is broken when the connection is reset', async () => {
+    const connections = await startBackend([write(partial), ...reset]);
     const { result } = await send(connections);
     expect(result).toMatchObject({ kind: 'broken', hadHead: true });
   });
 
-  it('is broken when its connection is reset right after the head', async () => {
+  it('is broken when the connection is reset right after the head', async () => {
     const connections = await startBackend([write(head()), ...reset]);
     const { result } = await send(connections);
     expect(result).toMatchObject({ kind: 'broken', hadHead: true });
   });
 
-  it('is broken when it is reset while its reader is slow', async () => {
-    const connections = await startBackend([write(beginning), wait(30), write('more'), ...reset]);
+  it('is broken when the connection is reset while the reader is slow', async () => {
+    const connections = await startBackend([write(partial), wait(30), write('more'), ...reset]);
     const { result } = await send(connections, { mayGoOn: () => false });
     expect(result).toMatchObject({ kind: 'broken', hadHead: true });
   });
 });
 
-describe('a slow reader of an answer that ends with its connection', () => {
-  it('gets all of it, however often it has to wait', async () => {
+describe('slow reader of a close-delimited response', () => {
+  it('receives the complete body despite repeated backpressure', async () => {
     const body = 'x'.repeat(400_000);
     backend = await RawBackend.start(() => [write(head() + body), close]);
     const connections = new BackendConnectionPool(backend.address, () => 1);
@@ -79,64 +79,68 @@
   });
 });
 
-/** An answer as its bytes, and what it must count as. */
-interface Row {
+/** The bytes of a response, and the expected result. */
+interface Case {
   name: string;
   steps: ScriptStep[];
   expected: Partial<SendResult>;
   method?: string;
 }
 
-const whole = (framing: string): Partial<SendResult> =>
+const complete = (framing: string): Partial<SendResult> =>
   ({ kind: 'complete', framing }) as Partial<SendResult>;
 const broken: Partial<SendResult> = { kind: 'broken' };
 const fiveBytes = head('Content-Length: 5');
 const chunked = head('Transfer-Encoding: chunked');
 
-const rows: Row[] = [
-  { name: 'a body of its length', steps: [write(`${fiveBytes}12345`)], expected: whole('length') },
+const cases: Case[] = [
   {
-    name: 'a body of its length, reset afterwards',
+    name: 'a body of the announced length',
+    steps: [write(`${fiveBytes}12345`)],
+    expected: complete('length'),
+  },
+  {
+    name: 'a body of the announced length, reset afterwards',
     steps: [write(`${fiveBytes}12345`), ...reset],
-    expected: whole('length'),
+    expected: complete('length'),
   },
   {
-    name: 'a body shorter than its length, closed',
+    name: 'a body shorter than the announced length, closed',
     steps: [write(`${fiveBytes}123`), close],
     expected: broken,
   },
   {
-    name: 'a body shorter than its length, reset',
+    name: 'a body shorter than the announced length, reset',
     steps: [write(`${fiveBytes}123`), ...reset],
     expected: broken,
   },
   {
-    name: 'a body shorter than its length on a connection that ends, reset',
+    name: 'a body shorter than the announced length with Connection: close, reset',
     steps: [write(`${head('Content-Length: 5', 'Connection: close')}123`), ...reset],
     expected: broken,
   },
   {
-    name: 'bytes beyond its length',
+    name: 'bytes beyond the announced length',
     steps: [write(`${fiveBytes}12345678`)],
-    expected: whole('length'),
+    expected: complete('length'),
   },
   {
-    name: 'two equal lengths',
+    name: 'two equal Content-Length headers',
     steps: [write(`${head('Content-Length: 5', 'Content-Length: 5')}12345`), close],
     expected: broken,
   },
   {
-    name: 'two different lengths',
+    name: 'two different Content-Length headers',
     steps: [write(`${head('Content-Length: 5', 'Content-Length: 3')}12345`), close],
     expected: broken,
   },
   {
-    name: 'a length beside chunks',
+    name: 'Content-Length with chunked coding',
     steps: [write(`${head('Content-Length: 5', 'Transfer-Encoding: chunked')}0\r\n\r\n`), close],
     expected: broken,
   },
   {
-    name: 'a length that is no number',
+    name: 'a non-numeric length',
     steps: [write(`${head('Content-Length: 5x')}12345`), close],
     expected: broken,
   },
@@ -146,22 +150,22 @@
     expected: broken,
   },
   {
-    name: 'chunks with their last one',
+    name: 'chunks with the last chunk',
     steps: [write(`${chunked}5\r\n12345\r\n0\r\n\r\n`)],
-    expected: whole('last-chunk'),
+    expected: complete('last-chunk'),
   },
   {
-    name: 'chunks without their last one, closed',
+    name: 'chunks without the last chunk, closed',
     steps: [write(`${chunked}5\r\n12345\r\n`), close],
     expected: broken,
   },
   {
-    name: 'chunks without their last one, reset',
+    name: 'chunks without the last chunk, reset',
     steps: [write(`${chunked}5\r\n12345\r\n`), ...reset],
     expected: broken,
   },
   {
-    name: 'a last chunk without its empty line, closed',
+    name: 'a last chunk without the final empty line, closed',
     steps: [write(`${chunked}5\r\n12345\r\n0\r\n`), close],
     expected: broken,
   },
@@ -171,19 +175,19 @@
     expected: broken,
   },
   {
-    name: 'a chunk size that is no number',
+    name: 'an invalid chunk size',
     steps: [write(`${chunked}zz\r\n12345\r\n0\r\n\r\n`), close],
     expected: broken,
   },
   {
-    name: 'chunk extensions and trailers, which are dropped',
+    name: 'chunk extensions and trailers, which are ignored',
     steps: [write(`${chunked}5;a=b\r\n12345\r\n0\r\nX-Trailer: t\r\n\r\n`)],
-    expected: whole('last-chunk'),
+    expected: complete('last-chunk'),
   },
   {
-    name: 'a transfer coding that is not chunks, closed',
+    name: 'a transfer coding other than chunked, closed',
     steps: [write(`${head('Transfer-Encoding: identity')}12345`), close],
-    expected: whole('close'),
+    expected: complete('close'),
   },
   {
     name: 'a close in the middle of the head',
@@ -195,26 +199,26 @@
     steps: [write('HTTP/1.1 200 OK\r\nX-Ca'), ...reset],
     expected: broken,
   },
-  { name: 'a close without a byte', steps: [close], expected: broken },
-  { name: 'a reset without a byte', steps: [...reset], expected: broken },
-  { name: 'bytes that are no answer', steps: [write('nonsense\r\n\r\n'), close], expected: broken },
+  { name: 'a close without any data', steps: [close], expected: broken },
+  { name: 'a reset without any data', steps: [...reset], expected: broken },
+  { name: 'bytes that are not HTTP', steps: [write('nonsense\r\n\r\n'), close], expected: broken },
   {
-    name: 'a head that is too long',
+    name: 'an oversized head',
     steps: [write(head(`X-Long: ${'x'.repeat(70_000)}`, 'Content-Length: 0')), close],
     expected: broken,
   },
   {
-    name: 'a preliminary answer before the final one',
+    name: 'an informational response before the final one',
     steps: [write(`HTTP/1.1 103 Early Hints\r\n\r\n${fiveBytes}12345`)],
-    expected: whole('length'),
+    expected: complete('length'),
   },
   {
-    name: 'an unasked 100 Continue',
+    name: 'an unsolicited 100 Continue',
     steps: [write(`HTTP/1.1 100 Continue\r\n\r\n${fiveBytes}12345`), close],
     expected: broken,
   },
   {
-    name: 'an upgrade that nobody asked for',
+    name: 'an unsolicited upgrade',
     steps: [
       write(`HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n`),
       close,
@@ -222,25 +226,25 @@
     expected: broken,
   },
   {
-    name: 'no body after 204, whatever its head says of a length',
-    steps: [write(`HTTP/1.1 204 No Content\r\n${OWN}\r\nContent-Length: 0\r\n\r\n`)],
-    expected: whole('head'),
+    name: '204 without a body, with Content-Length 0',
+    steps: [write(`HTTP/1.1 204 No Content\r\n${OWN_HEADERS}\r\nContent-Length: 0\r\n\r\n`)],
+    expected: complete('head'),
   },
   {
-    name: 'no body after 304',
-    steps: [write(`HTTP/1.1 304 Not Modified\r\n${OWN}\r\n\r\n`)],
-    expected: whole('head'),
+    name: '304 without a body',
+    steps: [write(`HTTP/1.1 304 Not Modified\r\n${OWN_HEADERS}\r\n\r\n`)],
+    expected: complete('head'),
   },
   {
-    name: 'no body for HEAD, with the length that a body would have',
+    name: 'HEAD without a body, with a Content-Length',
     steps: [write(fiveBytes)],
-    expected: whole('head'),
+    expected: complete('head'),
     method: 'HEAD',
   },
   {
-    name: "another call's answer",
+    name: 'the response to another call',
     steps: [write('HTTP/1.1 200 OK\r\nX-Call: other\r\nContent-Length: 5\r\n\r\n12345')],
-    expected: { kind: 'broken', cause: 'the answer belongs to another call' },
+    expected: { kind: 'broken', cause: 'the response belongs to another call' },
   },
   {
     name: 'a folded header',
@@ -248,22 +252,22 @@
     expected: broken,
   },
   {
-    name: 'a space before the colon of its length',
+    name: 'a space before the colon of Content-Length',
     steps: [write(`${head('Content-Length : 5')}12345`), close],
     expected: broken,
   },
 ];
 
-describe('what counts as a whole answer', () => {
-  it.each(rows)('$name: $expected.kind', async ({ steps, expected, method }) => {
+describe('response completeness', () => {
+  it.each(cases)('$name: $expected.kind', async ({ steps, expected, method }) => {
     const connections = await startBackend(steps);
     const { result } = await send(connections, { method });
     expect(result).toMatchObject(expected);
   });
 
-  it.each(rows)('$name: the next call gets its own answer', async ({ steps, method }) => {
-    const own = `${head('Content-Length: 3')}own`;
-    const connections = await startBackend(steps, [write(own)]);
+  it.each(cases)('$name: the next call gets its own response', async ({ steps, method }) => {
+    const response = `${head('Content-Length: 3')}own`;
+    const connections = await startBackend(steps, [write(response)]);
     await send(connections, { method });
     const { result, body } = await send(connections);
     if (result.kind === 'complete') expect(body).toBe('own');
--- a/src/forwarding/response-fuzz.test.ts
+++ b/src/forwarding/response-fuzz.test.ts
@@ -1,7 +1,7 @@
 /**
- * Seeded conversations with a back end over real sockets that cut, reset, delay, split and follow
- * answers with bytes that nobody asked for. Whatever happens, an answer counts as complete only if
- * its caller has the whole body of its own call, and no connection is left behind.
+ * Fuzz test over real sockets with a backend that truncates, resets, delays and splits responses and
+ * sends unsolicited data. A response may only count as complete if the caller has received the full body
+ * of its own call, and no connection may leak.
  */
 import { describe, expect, it } from 'vitest';
 import { fuzzSeeds } from '../../tests/support/fuzz-seeds.js';
@@ -18,28 +18,28 @@
 import { SeededRandom } from '../common/index.js';
 import { BackendConnectionPool } from './backend-connections.js';
 
-/** Seeds that failed once stand here, each with a line on the cause. */
+/** Seeds of earlier failures, with the cause. */
 const FAILED_SEEDS: readonly number[] = [
-  // The back end of the test wrote a foreign answer into the middle of its own next one.
+  // The test backend wrote a foreign response into the middle of its next response.
   632882262,
-  // A whole answer, then a close while the next request is written: that one is rightly broken.
+  // A close after a complete response while the next request is written, which correctly fails.
   517682882,
 ];
 const REGULAR_SEEDS = 30;
 const CALLS_PER_SEED = 8;
-const DAMAGES = ['none', 'none', 'close', 'reset', 'foreign-answer', 'garbage'] as const;
+const FAULTS = ['none', 'none', 'close', 'reset', 'foreign-answer', 'garbage'] as const;
 const FRAMINGS = ['length', 'chunks', 'until-close'] as const;
 const PARALLEL = 16;
 
-type Damage = (typeof DAMAGES)[number];
+type Fault = (typeof FAULTS)[number];
 type Framing = (typeof FRAMINGS)[number];
 
-interface PlannedAnswer {
+interface PlannedResponse {
   id: string;
   body: string;
   framing: Framing;
-  damage: Damage;
-  /** Bytes that are written before the connection is closed or reset. */
+  fault: Fault;
+  /** Number of bytes written before the connection is closed or reset. */
   cutAt: number;
   bytes: string;
   headBytes: number;
@@ -56,8 +56,8 @@
   random: SeededRandom,
   id: string,
   framing: Framing = random.pick(FRAMINGS),
-  damage: Damage = random.pick(DAMAGES),
-): PlannedAnswer {
+  fault: Fault = random.pick(FAULTS),
+): PlannedResponse {
   const body = Array.from({ length: random.integer(0, 60) }, () => `${id},`).join('');
   const head = headOf(id, framing, body.length);
   const middle = random.integer(0, body.length);
@@ -68,19 +68,19 @@
       : body;
   const bytes = head + framed;
   const cutAt = random.integer(0, bytes.length);
-  return { id, body, framing, damage, cutAt, bytes, headBytes: head.length };
+  return { id, body, framing, fault, cutAt, bytes, headBytes: head.length };
 }
 
-function scriptOf(answer: PlannedAnswer, random: SeededRandom): ScriptStep[] {
-  const { bytes, damage, cutAt, framing } = answer;
-  const isCut = damage === 'close' || damage === 'reset';
+function scriptOf(response: PlannedResponse, random: SeededRandom): ScriptStep[] {
+  const { bytes, fault, cutAt, framing } = response;
+  const isCut = fault === 'close' || fault === 'reset';
   const sent = isCut ? bytes.slice(0, cutAt) : bytes;
   const steps: ScriptStep[] = split(sent, random);
-  if (damage === 'close') steps.push(close);
-  else if (damage === 'reset') steps.push(...reset);
+  if (fault === 'close') steps.push(close);
+  else if (fault === 'reset') steps.push(...reset);
   else if (framing === 'until-close') steps.push(close);
-  else if (damage === 'foreign-answer') steps.push(write(`${headOf('nobody', 'length', 2)}no`));
-  else if (damage === 'garbage') steps.push(write('\u0000garbage\r\n\r\n'));
+  else if (fault === 'foreign-answer') steps.push(write(`${headOf('nobody', 'length', 2)}no`));
+  else if (fault === 'garbage') steps.push(write('\u0000garbage\r\n\r\n'));
   return steps;
 }
 
@@ -90,37 +90,37 @@
   return [write(bytes.slice(0, at)), wait(1), write(bytes.slice(at))];
 }
 
-/** What the caller may be told, from what the back end really sent. */
-function isCompleteAllowed(answer: PlannedAnswer, body: string): boolean {
-  const { framing, damage, cutAt, bytes, headBytes } = answer;
-  if (damage !== 'close' && damage !== 'reset') return body === answer.body;
-  if (cutAt === bytes.length && framing !== 'until-close') return body === answer.body;
-  // An orderly close is the end of an answer without a length, wherever it comes.
-  const isOrderlyEnd = damage === 'close' && framing === 'until-close' && cutAt >= headBytes;
+/** Whether the response may count as complete, given the bytes that the backend sent. */
+function isCompleteAllowed(response: PlannedResponse, body: string): boolean {
+  const { framing, fault, cutAt, bytes, headBytes } = response;
+  if (fault !== 'close' && fault !== 'reset') return body === response.body;
+  if (cutAt === bytes.length && framing !== 'until-close') return body === response.body;
+  // An orderly close ends a close-delimited response at any position.
+  const isOrderlyEnd = fault === 'close' && framing === 'until-close' && cutAt >= headBytes;
   return isOrderlyEnd && body === bytes.slice(headBytes, cutAt);
 }
 
-/** Whether an answer that counts as whole leaves a connection behind that fails the next call. */
-function mayBreakNext({ damage, cutAt, bytes }: PlannedAnswer): boolean {
-  const isCutAtItsEnd = (damage === 'close' || damage === 'reset') && cutAt === bytes.length;
-  return damage === 'foreign-answer' || damage === 'garbage' || isCutAtItsEnd;
+/** Whether the connection may fail the next call after a complete response. */
+function mayFailNextCall({ fault, cutAt, bytes }: PlannedResponse): boolean {
+  const isCutAtEnd = (fault === 'close' || fault === 'reset') && cutAt === bytes.length;
+  return fault === 'foreign-answer' || fault === 'garbage' || isCutAtEnd;
 }
 
-/** Plays answers one after the other on kept connections and checks each. */
-async function playConversation(answers: PlannedAnswer[], random: SeededRandom): Promise<void> {
-  const scripts = new Map(answers.map((answer) => [answer.id, scriptOf(answer, random)]));
+/** Sends calls sequentially over reused connections and checks each response. */
+async function runCalls(responses: PlannedResponse[], random: SeededRandom): Promise<void> {
+  const scripts = new Map(responses.map((response) => [response.id, scriptOf(response, random)]));
   const backend = await RawBackend.start((request) =>
     scripts.get(request.split(' ')[1]!.slice(1))!,
   );
   try {
     const connections = new BackendConnectionPool(backend.address, () => 2);
-    for (const answer of answers) {
-      const { result, body } = await sendRaw(connections, { id: answer.id });
+    for (const response of responses) {
+      const { result, body } = await sendRaw(connections, { id: response.id });
       if (result.kind === 'complete') {
-        expect(isCompleteAllowed(answer, body), JSON.stringify({ answer, body })).toBe(true);
-      } else if (answer.damage === 'none' && result.kind === 'broken') {
-        // Only what an answer before it left on the connection may break a sound one.
-        expect(answers.some(mayBreakNext)).toBe(true);
+        expect(isCompleteAllowed(response, body), JSON.stringify({ response, body })).toBe(true);
+      } else if (response.fault === 'none' && result.kind === 'broken') {
+        // An undamaged response may only break because of an earlier response on the connection.
+        expect(responses.some(mayFailNextCall)).toBe(true);
       }
       expect(result.kind).not.toBe('not-executed');
     }
@@ -141,23 +141,25 @@
   await Promise.all(Array.from({ length: PARALLEL }, work));
 }
 
-describe('conversations with a back end that misbehaves', () => {
+describe('calls to a misbehaving backend', () => {
   it.each(fuzzSeeds(FAILED_SEEDS, REGULAR_SEEDS))('seed %i', async (seed) => {
     const random = new SeededRandom(seed);
-    const answers = Array.from({ length: CALLS_PER_SEED }, (_, n) => plan(random, `c${seed}-${n}`));
-    await playConversation(answers, random);
+    const responses = Array.from({ length: CALLS_PER_SEED }, (_, n) =>
+      plan(random, `c${seed}-${n}`),
+    );
+    await runCalls(responses, random);
   });
 });
 
-describe('an answer that is cut at every one of its bytes', () => {
+describe('a response truncated at every byte', () => {
   const cases = FRAMINGS.flatMap((framing) =>
-    (['close', 'reset'] as const).map((damage) => ({ framing, damage })),
+    (['close', 'reset'] as const).map((fault) => ({ framing, fault })),
   );
-  it.each(cases)('$framing, $damage', async ({ framing, damage }) => {
-    const whole = plan(new SeededRandom(7), 'cut', framing, damage);
+  it.each(cases)('$framing, $fault', async ({ framing, fault }) => {
+    const complete = plan(new SeededRandom(7), 'cut', framing, fault);
     const tasks = Array.from(
-      { length: whole.bytes.length + 1 },
-      (_, cutAt) => () => playConversation([{ ...whole, cutAt }], new SeededRandom(cutAt)),
+      { length: complete.bytes.length + 1 },
+      (_, cutAt) => () => runCalls([{ ...complete, cutAt }], new SeededRandom(cutAt)),
     );
     await inParallel(tasks);
   });
--- a/src/forwarding/send-attempt.ts
+++ b/src/forwarding/send-attempt.ts
@@ -1,6 +1,6 @@
 /**
- * One send of a call to one back end: from the choice of a connection to the whole answer, to a
- * failure of which it is known whether the back end may have run the call.
+ * One attempt to send a call to one backend. A failure tells whether the backend may have executed the
+ * call.
  */
 import type { Dispatcher } from 'undici';
 import { headerValues } from '../http/index.js';
@@ -10,23 +10,23 @@
 import type { ResponseHead } from './call-exchange.js';
 
 export type SendResult =
-  /** A whole answer was received. */
+  /** A complete response was received. */
   | { kind: 'complete'; framing: ResponseFraming }
-  /** No byte of the call reached the back end. */
+  /** No byte of the call reached the backend. */
   | { kind: 'not-sent'; cause: string }
-  /** The back end states that it did not run the call. */
+  /** The backend states that it did not execute the call. */
   | { kind: 'not-executed'; isOtherIncarnation: boolean }
-  /** The answer, or its rest, never came; the call may have run. */
+  /** The response is missing or incomplete; the call may have been executed. */
   | { kind: 'broken'; cause: string; hadHead: boolean }
-  /** The owner of the call stopped it. */
+  /** The attempt was stopped by the sender. */
   | { kind: 'stopped'; wasSent: boolean };
 
-/** Takes the parts of an answer as they come. */
+/** Receives a response as it arrives. */
 export interface ResponseSink {
   onHead(head: ResponseHead): void;
-  /** @returns false to be asked for more later, through `SendAttempt.resume` */
+  /** @returns false on backpressure; `SendAttempt.resume` continues */
   onData(chunk: Buffer): boolean;
-  /** Why the answer is of no use, once that is known; it is given up then. */
+  /** Why the response cannot be used, if so; the attempt is then aborted. */
   readonly rejectionReason?: string;
 }
 
@@ -37,14 +37,14 @@
   body: Buffer;
   callId: string | undefined;
   sink: ResponseSink;
-  /** Called when bytes of the answer come in. */
+  /** Called when bytes of the response arrive. */
   onDataReceived: () => void;
 }
 
 export class SendAttempt implements Dispatcher.DispatchHandler {
-  /** Whether the call may have reached the back end. */
+  /** Whether the call may have reached the backend. */
   wasSent = false;
-  /** When the head of the answer came (monotonic, milliseconds). */
+  /** Arrival of the response head (monotonic, milliseconds). */
   headAt: number | undefined;
   private hadHead = false;
   private stopReason: 'stopped' | 'not-executed' | 'broken' | undefined;
@@ -76,15 +76,15 @@
     });
   }
 
-  /** Closes the connection, so that the back end stops working on the call. */
+  /** Closes the connection, so that the backend stops processing the call. */
   stop(): void {
     this.abort('stopped');
   }
 
-  /** Gives the answer up unless its head has come; the call may have run. */
+  /** Aborts the attempt unless the response head has arrived; the call may have been executed. */
   abortUnlessStarted(): void {
     if (this.headAt !== undefined) return;
-    this.giveUp('silent for too long');
+    this.fail('no response head in time');
   }
 
   resume(): void {
@@ -112,7 +112,7 @@
     this.framing = responseFraming(this.options.request.method, statusCode, rawHeaders);
     this.isLastOnConnection = announcesClose(rawHeaders) || this.framing === 'close';
     if (verdict.callId !== undefined && verdict.callId !== this.options.callId) {
-      this.giveUp('the answer belongs to another call');
+      this.fail('the response belongs to another call');
       return;
     }
     if (verdict.isNotExecuted) {
@@ -120,45 +120,45 @@
       return;
     }
     if (!verdict.isAuthentic) {
-      this.giveUp("the answer is not the back end's own");
+      this.fail("the response is not the backend's own");
       return;
     }
     this.hadHead = true;
     const { headers } = verdict;
     this.options.sink.onHead({ status: statusCode, statusText: statusMessage ?? '', headers });
-    this.heedObjection();
+    this.checkRejection();
   }
 
   onResponseData(controller: Dispatcher.DispatchController, chunk: Buffer): void {
-    // The parser repeats its last callback without bytes when it is resumed; pausing it again then
-    // would leave it paused at the end of the stream, which it does not bear.
+    // When resumed, undici's parser repeats its last callback without data; pausing it again would
+    // leave it paused at the end of the stream, which it does not support.
     if (chunk.length === 0) return;
     this.options.onDataReceived();
     if (this.stopReason) return;
     if (!this.options.sink.onData(chunk)) controller.pause();
-    this.heedObjection();
+    this.checkRejection();
   }
 
   onResponseEnd(): void {
     if (this.isLastOnConnection) this.options.connection.discard();
     else this.options.connection.release();
-    if (this.stopReason !== undefined) this.finish(this.resultOfStop(''));
+    if (this.stopReason !== undefined) this.finish(this.stopResult(''));
     else this.finish({ kind: 'complete', framing: this.framing });
   }
 
   onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
     this.options.connection.discard();
-    if (this.stopReason !== undefined) this.finish(this.resultOfStop(error.message));
+    if (this.stopReason !== undefined) this.finish(this.stopResult(error.message));
     else if (!this.wasSent) this.finish({ kind: 'not-sent', cause: error.message });
     else this.finish({ kind: 'broken', cause: error.message, hadHead: this.hadHead });
   }
 
-  private heedObjection(): void {
+  private checkRejection(): void {
     const { rejectionReason } = this.options.sink;
-    if (rejectionReason !== undefined) this.giveUp(rejectionReason);
+    if (rejectionReason !== undefined) this.fail(rejectionReason);
   }
 
-  private giveUp(cause: string): void {
+  private fail(cause: string): void {
     this.brokenCause = cause;
     this.abort('broken');
   }
@@ -169,7 +169,7 @@
     else this.options.connection.discard();
   }
 
-  private resultOfStop(cause: string): SendResult {
+  private stopResult(cause: string): SendResult {
     if (this.stopReason === 'not-executed') {
       const isOtherIncarnation = this.verdict?.isOtherIncarnation ?? false;
       return { kind: 'not-executed', isOtherIncarnation };
--- a/src/forwarding/stall-detector.test.ts
+++ b/src/forwarding/stall-detector.test.ts
@@ -6,26 +6,26 @@
 const STALL_MS = 100;
 const logger = createLogger({});
 
-function standStill(milliseconds: number): void {
+function blockEventLoop(milliseconds: number): void {
   const until = monotonicMs() + milliseconds;
   while (monotonicMs() < until);
 }
 
-async function timeToSettle(guard: StallDetector): Promise<number> {
+async function waitTime(detector: StallDetector): Promise<number> {
   const startedAt = monotonicMs();
-  await guard.waitAfterStall();
+  await detector.waitAfterStall();
   return monotonicMs() - startedAt;
 }
 
-describe('stall guard', () => {
-  it('waits a moment after the process stood still, and only then', async () => {
-    const guard = new StallDetector({ logger, stallMs: STALL_MS });
-    onTestFinished(() => guard.stop());
-    standStill(STALL_MS * 3);
-    expect(await timeToSettle(guard)).toBeGreaterThan(20);
-    const calm = new StallDetector({ logger, stallMs: 60_000 });
-    onTestFinished(() => calm.stop());
-    standStill(STALL_MS);
-    expect(await timeToSettle(calm)).toBeLessThan(20);
+describe('stall detector', () => {
+  it('delays only after a stall of the process', async () => {
+    const detector = new StallDetector({ logger, stallMs: STALL_MS });
+    onTestFinished(() => detector.stop());
+    blockEventLoop(STALL_MS * 3);
+    expect(await waitTime(detector)).toBeGreaterThan(20);
+    const unstalled = new StallDetector({ logger, stallMs: 60_000 });
+    onTestFinished(() => unstalled.stop());
+    blockEventLoop(STALL_MS);
+    expect(await waitTime(unstalled)).toBeLessThan(20);
   });
 });
--- a/src/forwarding/stream-relay.ts
+++ b/src/forwarding/stream-relay.ts
@@ -1,7 +1,6 @@
 /**
- * Passes a stream of events on to the caller, whole events only, and counts what was passed on. The
- * stream of one answer may be made of several runs; what does not go on where the run before broke is
- * not passed on.
+ * Relays a stream of events to the caller, complete events only, and counts them. The stream may consist
+ * of several runs; events that do not continue where the previous run broke off are rejected.
  */
 import { firstHeader } from '../http/index.js';
 import type { ResponseHead, CallExchange } from './call-exchange.js';
@@ -16,45 +15,45 @@
 
 export interface StreamRelayOptions {
   exchange: CallExchange;
-  /** Whether the data of the events is kept for later turns. */
+  /** Whether the event data is collected for later turns. */
   collectsOutput: boolean;
-  /** Whether another run may take the stream up. */
+  /** Whether another run may resume the stream. */
   isResumable: boolean;
 }
 
 export class StreamRelay implements ResponseSink {
-  /** Events passed on to the caller. */
+  /** Number of events relayed to the caller. */
   events = 0;
-  /** Id of the last event passed on. */
+  /** Id of the last relayed event. */
   lastEventId: string | undefined;
-  /** When the first event was passed on (monotonic, milliseconds). */
+  /** When the first event was relayed (monotonic, milliseconds). */
   firstEventAt: number | undefined;
   private splitter = new EventSplitter();
-  /** Absent where each stream is one run, whose ids are its own matter. */
+  /** Undefined if the stream is not resumable, so that its ids need no check. */
   private readonly sequence: EventSequence | undefined;
   private readonly output: Buffer[] = [];
-  private readonly answer: CallerResponse;
-  private currentObjection: string | undefined;
+  private readonly callerResponse: CallerResponse;
+  private currentRejection: string | undefined;
 
   constructor(private readonly options: StreamRelayOptions) {
     this.lastEventId = options.exchange.description.lastEventId;
     this.sequence = options.isResumable ? new EventSequence(this.lastEventId) : undefined;
-    this.answer = new CallerResponse(options.exchange);
+    this.callerResponse = new CallerResponse(options.exchange);
   }
 
   get rejectionReason(): string | undefined {
-    return this.currentObjection;
+    return this.currentRejection;
   }
 
-  /** Whether another run may go on where the last one broke. */
+  /** Whether another run can continue where the last one broke off. */
   get canResume(): boolean {
     if (!this.sequence) return false;
     return !this.hasBegun || (this.isStream && this.sequence.canResume);
   }
 
-  /** Whether the caller has received a part of the answer. */
+  /** Whether a part of the response was sent to the caller. */
   get hasBegun(): boolean {
-    return this.answer.hasBegun;
+    return this.callerResponse.hasBegun;
   }
 
   get isStream(): boolean {
@@ -62,7 +61,7 @@
   }
 
   get status(): number | undefined {
-    return this.answer.head?.status;
+    return this.callerResponse.head?.status;
   }
 
   get hasPartialEvent(): boolean {
@@ -73,49 +72,49 @@
     return Buffer.concat(this.output);
   }
 
-  /** Forgets what a send that broke off has left; the next one goes on after the last event. */
+  /** Discards the data of a failed attempt; the next one continues after the last event. */
   restart(): void {
     this.splitter = new EventSplitter();
-    this.currentObjection = undefined;
+    this.currentRejection = undefined;
     this.sequence?.beginRun();
-    if (!this.hasBegun) this.answer.head = undefined;
+    if (!this.hasBegun) this.callerResponse.head = undefined;
   }
 
   onHead(head: ResponseHead): void {
-    const { head: first } = this.answer;
-    if (!first) this.answer.head = this.framedByEvents(head);
-    // Whatever else a back end answers, its end is not the end of the stream.
-    else if (!isSameKind(first, head)) this.currentObjection = 'no stream to go on with';
+    const { head: first } = this.callerResponse;
+    if (!first) this.callerResponse.head = this.withoutLength(head);
+    // The end of a different response would not be the end of the stream.
+    else if (!isContinuation(first, head))
+      this.currentRejection = 'the response does not continue the stream';
   }
 
   onData(chunk: Buffer): boolean {
-    if (!this.isStream) return this.answer.pass(chunk);
-    const passable: Buffer[] = [];
+    if (!this.isStream) return this.callerResponse.pass(chunk);
+    const accepted: Buffer[] = [];
     for (const event of this.splitter.push(chunk)) {
-      if (!this.follows(event)) break;
-      passable.push(event.bytes);
+      if (!this.isNext(event)) break;
+      accepted.push(event.bytes);
       this.note(event);
     }
-    if (passable.length === 0) return true;
+    if (accepted.length === 0) return true;
     this.firstEventAt ??= performance.now();
-    return this.answer.pass(passable.length === 1 ? passable[0]! : Buffer.concat(passable));
+    return this.callerResponse.pass(accepted.length === 1 ? accepted[0]! : Buffer.concat(accepted));
   }
 
-  /** Ends the answer as complete. */
+  /** Ends the response as complete. */
   end(): void {
-    this.answer.end();
+    this.callerResponse.end();
   }
 
-  /** Calls `resume` when the caller has read what waits for it. */
+  /** Calls `resume` when the backpressure is over. */
   onceReadable(resume: () => void): void {
-    this.answer.onceReadable(resume);
+    this.callerResponse.onceReadable(resume);
   }
 
-  /** Whether the event is the next one of the stream. */
-  private follows({ id, hasData }: StreamEvent): boolean {
+  private isNext({ id, hasData }: StreamEvent): boolean {
     if (!this.sequence || (id === undefined && !hasData)) return true;
     if (this.sequence.take(id)) return true;
-    this.currentObjection = 'events out of their order';
+    this.currentRejection = 'events out of order';
     return false;
   }
 
@@ -126,21 +125,21 @@
     if (this.options.collectsOutput) this.output.push(dataOfEvent(event));
   }
 
-  /** The length of one run is not that of the stream when others take it up. */
-  private framedByEvents(head: ResponseHead): ResponseHead {
+  /** Drops the Content-Length of a resumable stream, which covers one run only. */
+  private withoutLength(head: ResponseHead): ResponseHead {
     if (!this.options.isResumable || head.status !== HTTP_OK) return head;
     return { ...head, headers: withoutHeader(head.headers, CONTENT_LENGTH) };
   }
 }
 
-/** Whether a run with this head may take up the stream of another. */
-function isSameKind(first: ResponseHead, head: ResponseHead): boolean {
+/** Whether a run with this head can continue the stream. */
+function isContinuation(first: ResponseHead, head: ResponseHead): boolean {
   const typeOf = ({ headers }: ResponseHead): string | undefined =>
     firstHeader(headers, CONTENT_TYPE);
   return first.status === head.status && typeOf(first) === typeOf(head);
 }
 
-/** @param headers names and values in turn */
+/** @param headers alternating names and values */
 function withoutHeader(headers: readonly string[], name: string): string[] {
   return headers.filter((_, index) => headers[index - (index % 2)]!.toLowerCase() !== name);
 }
--- a/src/forwarding/turn-reservations.test.ts
+++ b/src/forwarding/turn-reservations.test.ts
@@ -1,4 +1,4 @@
-/** Turns that are kept, while the ledger can't be reached for a moment. */
+/** Kept turns while the ledger is temporarily unreachable. */
 import { describe, expect, it } from 'vitest';
 import { waitUntil } from '../../tests/support/wait-until.js';
 import { monotonicMs, sleep } from '../common/index.js';
@@ -39,9 +39,9 @@
   isResumable: false,
 };
 
-class SwitchedLedger implements PeerCaller {
+class SwitchableLedger implements PeerCaller {
   isUp = true;
-  /** What reservations are answered with, beside being granted. */
+  /** Additional fields of granted reservations. */
   granted: Pick<ReserveResponse, 'missingHistory'> = {};
   readonly settled: SettleRequest[] = [];
 
@@ -54,7 +54,7 @@
     method: Method<Request, Response>,
     request: Request,
   ): Promise<Response> {
-    if (!this.isUp) throw new Error('nobody answers');
+    if (!this.isUp) throw new Error('no response');
     if (method.name === SETTLE.name) this.settled.push(request as SettleRequest);
     const answer =
       method.name === RESERVE.name
@@ -72,7 +72,7 @@
 }
 
 class KeptTurns {
-  readonly ledger = new SwitchedLedger();
+  readonly ledger = new SwitchableLedger();
   readonly metrics = new ForwardingMetrics();
   private readonly reservations: TurnReservations;
 
@@ -87,7 +87,7 @@
     });
   }
 
-  /** Runs a turn from its reservation to its last event. */
+  /** Runs a turn from its reservation to its settlement. */
   async run(
     id: string,
     previousTurn?: string,
@@ -112,8 +112,8 @@
   }
 }
 
-describe('a kept turn while no leader of the ledger answers', () => {
-  it('runs by the allowance, and ends once it is committed', async () => {
+describe('a kept turn while no ledger leader responds', () => {
+  it('runs on the allowance and ends once it is committed', async () => {
     const turns = new KeptTurns();
     await (
       await turns.run('a')
@@ -132,7 +132,7 @@
     expect(settlement.placement).toEqual({ session: 's', backend: 'e1' });
   });
 
-  it('runs by the allowance also with less time left than a typical turn takes', async () => {
+  it('runs on the allowance even with less time left than a typical turn takes', async () => {
     const turns = new KeptTurns();
     await (
       await turns.run('a')
@@ -142,7 +142,7 @@
     turns.ledger.isUp = true;
   });
 
-  it('is refused when the turn before is not known here', async () => {
+  it('is refused if the previous turn is not cached', async () => {
     const turns = new KeptTurns();
     await (
       await turns.run('a')
@@ -152,14 +152,14 @@
   });
 });
 
-describe('a turn whose history the ledger can not give', () => {
+describe('a turn whose history is missing', () => {
   async function refusalOf(turns: KeptTurns): Promise<RefusedError> {
     const error = await turns.run('c', 'of another gateway').catch((reason: unknown) => reason);
     expect(error).toBeInstanceOf(RefusedError);
     return error as RefusedError;
   }
 
-  it('is told when to come back, and the log at which step and by which leader it was refused', async () => {
+  it('is refused with a retry delay, and the log names the failed step and the leader', async () => {
     const turns = new KeptTurns();
     turns.ledger.granted = { missingHistory: { reason: '2 kept turns are held by no member' } };
     const refusal = await refusalOf(turns);
@@ -171,7 +171,7 @@
   });
 
   it.each([{ missingHistory: { reason: 'none' } }, {}])(
-    'leaves none of its tokens set aside: %j',
+    'releases its reserved tokens: %j',
     async (granted) => {
       const turns = new KeptTurns();
       turns.ledger.granted = granted;
--- a/src/forwarding/turn-reservations.ts
+++ b/src/forwarding/turn-reservations.ts
@@ -1,6 +1,4 @@
-/**
- * What a turn sets aside at the ledger before it is sent, and how that is settled when it is over.
- */
+/** Reserves a turn's tokens at the ledger before it is sent, and settles the reservation afterwards. */
 import { describeError, monotonicMs } from '../common/index.js';
 import {
   HistoryMissingError,
@@ -24,58 +22,58 @@
   ledger: LedgerClient;
   logger: Logger;
   metrics: ForwardingMetrics;
-  /** Tokens in each event of a service's streams. */
+  /** Tokens per event of a service's streams. */
   tokensPerEvent: (service: string) => number;
 }
 
-/** The time that a turn has. */
+/** Deadline and expected duration of a turn. */
 export interface TurnTime {
-  /** Monotonic time by which it must have its final answer, in milliseconds. */
+  /** Deadline of the final response (monotonic, milliseconds). */
   deadlineMs: number;
-  /** What a turn of its service takes, in milliseconds. */
+  /** Mean duration of a turn of the service, in milliseconds. */
   typicalMs: number;
 }
 
-/** What the ledger knows a turn by. */
+/** Ids of a turn at the ledger. */
 interface TurnIds {
   attempt: string;
   program: string;
-  /** The turn that it continues, where turns are kept. */
+  /** The turn that it continues, if turns are kept. */
   previousTurn: string | undefined;
 }
 
-/** A turn that may be sent; its ids are those of its tenant's own things. */
+/** The reservation of a turn that may be sent; its ids are scoped by tenant. */
 export interface Reservation {
   program: string;
   attempt: string;
   previousTurn?: string;
   history?: Uint8Array;
-  /** How long the ledger took, in milliseconds. */
+  /** Duration of the reservation, in milliseconds. */
   tookMs: number;
-  /** Where that time went. */
+  /** Breakdown of that duration. */
   steps: ReservationTrace;
-  /** Most tokens taken from this gateway's allowance, if the ledger could not be asked. */
+  /** Maximum tokens taken from this gateway's allowance, if the ledger was unreachable. */
   allowanceTaken?: number;
-  /** The back end that most likely holds the prompt of the turns before. */
+  /** The backend that probably has the prompt of the previous turns cached. */
   lastBackend?: string;
 }
 
-/** A turn that was sent, or that ended before that. */
+/** A turn that has ended, whether it was sent or not. */
 export interface FinishedTurn {
   exchange: CallExchange;
   run: CallRun;
   ending: CallOutcome;
   route: CompiledRoute;
   reservation: Reservation;
-  /** Monotonic time by which the call must have its final answer, in milliseconds. */
+  /** Deadline of the final response (monotonic, milliseconds). */
   deadlineMs: number;
 }
 
-/** A call was refused before it was sent anywhere. */
+/** A call was refused before it was sent. */
 export class RefusedError extends Error {
   /**
-   * @param retryAfterMs when the caller had better come back, if that is known, in milliseconds
-   * @param details what the refusal went by, for the log
+   * @param retryAfterMs retry delay, if known, in milliseconds
+   * @param details for the log
    */
   constructor(
     readonly reason: RefusalReason,
@@ -86,8 +84,8 @@
   }
 }
 
-/** Extra time for keeping a turn beyond the call's own limit, in milliseconds. */
-const KEEP_SLACK_MS = 300;
+/** Minimum time for keeping a turn, even past the call's deadline, in milliseconds. */
+const MIN_KEEP_TIMEOUT_MS = 300;
 
 export class TurnReservations {
   private readonly histories = new TurnHistoryCache();
@@ -95,10 +93,10 @@
   constructor(private readonly options: TurnReservationsOptions) {}
 
   /**
-   * Sets the turn's tokens aside and reads what it continues from.
-   * @param tenant whose programs and turns the ids name; absent where callers have none
-   * @returns nothing where the route and the call ask for neither
-   * @throws RefusedError when the turn must not be sent
+   * Reserves the turn's tokens and reads the history that it continues.
+   * @param tenant scope of the ids; undefined for anonymous callers
+   * @returns undefined if the turn needs neither a reservation nor a history
+   * @throws RefusedError if the turn must not be sent
    */
   async reserve(
     exchange: CallExchange,
@@ -120,7 +118,7 @@
     };
     const steps = new ReservationTrace();
     try {
-      return await this.ask(exchange, turn, time, steps);
+      return await this.requestReservation(exchange, turn, time, steps);
     } catch (error) {
       if (error instanceof RefusedError) throw error;
       const { failedStep: step } = steps;
@@ -136,8 +134,8 @@
   }
 
   /**
-   * Replaces the reservation by what was passed on; a turn that is to be kept is committed first.
-   * @returns the ending that the caller may be told
+   * Settles the reservation with the tokens that were relayed; a turn that is kept is committed first.
+   * @returns the outcome that may be reported to the caller
    */
   async settle(turn: FinishedTurn): Promise<CallOutcome> {
     const { run, ending, route, reservation } = turn;
@@ -155,14 +153,15 @@
     return ending;
   }
 
-  private async ask(
+  private async requestReservation(
     { description }: CallExchange,
     { attempt, program, previousTurn }: TurnIds,
     { deadlineMs, typicalMs }: TurnTime,
     steps: ReservationTrace,
   ): Promise<Reservation> {
     const startedAt = monotonicMs();
-    const known = previousTurn === undefined ? undefined : this.histories.find(previousTurn);
+    const cachedHistory =
+      previousTurn === undefined ? undefined : this.histories.find(previousTurn);
     const request = {
       program,
       attempt,
@@ -170,21 +169,21 @@
       mostTokens: description.mostTokens,
       previousTurn,
       session: description.program?.session,
-      wantsHistory: known === undefined,
+      wantsHistory: cachedHistory === undefined,
     };
     const usefulMs = deadlineMs - startedAt - typicalMs;
-    // A history that is known here was read from the ledger or committed, so the turn before stands.
-    const needsLedger = previousTurn !== undefined && known === undefined;
-    const answer = await this.options.ledger.reserve(request, usefulMs, !needsLedger, steps);
+    // A cached history was read from the ledger or committed, so the previous turn is valid.
+    const requiresLedger = previousTurn !== undefined && cachedHistory === undefined;
+    const answer = await this.options.ledger.reserve(request, usefulMs, !requiresLedger, steps);
     const tookMs = monotonicMs() - startedAt;
     this.options.metrics.reservation.observe(tookMs / 1_000);
     if (answer.outcome !== 'granted') {
       throw new RefusedError(answer.outcome, undefined, describeSteps(steps));
     }
-    const history = known ?? answer.history;
+    const history = cachedHistory ?? answer.history;
     if (previousTurn !== undefined && !history) {
       steps.failedStep = 'read-history';
-      throw new HistoryMissingError('the ledger gave none');
+      throw new HistoryMissingError('the ledger returned no history');
     }
     const { allowanceTaken, lastBackend } = answer;
     return { program, attempt, previousTurn, history, tookMs, steps, allowanceTaken, lastBackend };
@@ -207,7 +206,7 @@
     const { attempt, previousTurn, history } = reservation;
     const input = exchange.description.body;
     const keep = { previousTurn, input, output, retentionMs: route.route.retentionMs };
-    const timeoutMs = Math.max(KEEP_SLACK_MS, deadlineMs - monotonicMs());
+    const timeoutMs = Math.max(MIN_KEEP_TIMEOUT_MS, deadlineMs - monotonicMs());
     try {
       await ledger.settle({ ...settlement, keep }, timeoutMs);
       this.histories.add(attempt, history, input, output);
@@ -222,7 +221,7 @@
   }
 }
 
-/** Where a turn was answered, for the turns that follow it. */
+/** The backend that answered a turn, for the placement of later turns. */
 function placementOf({ exchange, run }: FinishedTurn): TurnPlacement | undefined {
   const session = exchange.description.program?.session;
   const backend = run.answeredBy;
