--- a/src/forwarding/call-log.ts
+++ b/src/forwarding/call-log.ts
@@ -17,10 +17,10 @@
   keepMs: number | undefined,
 ): LogFields {
   if (!reservation) return {};
-  const { tookMs, steps, lastBackend } = reservation;
+  const { tookMs, trace, lastBackend } = reservation;
   return {
     reserveMs: Math.round(tookMs),
-    ...describeSteps(steps),
+    ...describeTrace(trace),
     keepMs: keepMs && Math.round(keepMs),
     inputBytes: description.body.length,
     holder: lastBackend,
@@ -28,8 +28,8 @@
 }
 
 /** Steps of a reservation; `leaderAgeMs` is the age of the leader information before the first request. */
-export function describeSteps(steps: ReservationTrace): LogFields {
-  const { times, requestCount, knownLeader, leader, historyFrom, failedStep: failed } = steps;
+export function describeTrace(trace: ReservationTrace): LogFields {
+  const { times, requestCount, knownLeader, leader, historyFrom, failedStep: failed } = trace;
   return {
     reserveParts: describeTimes(times),
     ledgerAsked: requestCount,
--- a/src/forwarding/turn-reservations.ts
+++ b/src/forwarding/turn-reservations.ts
@@ -13,7 +13,7 @@
 import type { CompiledRoute, Route } from '../routes/index.js';
 import { scopedId } from '../tenants/index.js';
 import type { CallExchange, RefusalReason } from './call-exchange.js';
-import { describeSteps } from './call-log.js';
+import { describeTrace } from './call-log.js';
 import type { CallOutcome, CallRun } from './call-run.js';
 import type { ForwardingMetrics } from './forwarding-metrics.js';
 import type { StreamRelay } from './stream-relay.js';
@@ -51,7 +51,7 @@
   /** Duration of the reservation, in milliseconds. */
   tookMs: number;
   /** Breakdown of that duration. */
-  steps: ReservationTrace;
+  trace: ReservationTrace;
   /** Maximum tokens taken from this gateway's allowance, if the ledger was unreachable. */
   allowanceTaken?: number;
   /** The backend that probably has the prompt of the previous turns cached. */
@@ -116,12 +116,12 @@
           ? scopedId(tenant, previousTurn)
           : undefined,
     };
-    const steps = new ReservationTrace();
+    const trace = new ReservationTrace();
     try {
-      return await this.requestReservation(exchange, turn, time, steps);
+      return await this.requestReservation(exchange, turn, time, trace);
     } catch (error) {
       if (error instanceof RefusedError) throw error;
-      const { failedStep: step } = steps;
+      const { failedStep: step } = trace;
       if (step) this.options.metrics.noteFailedReservation(step);
       const reason = describeError(error);
       this.options.logger.warn('reservation failed', { call, program: program?.id, step, reason });
@@ -129,7 +129,7 @@
         const { program: key, attempt } = turn;
         this.options.ledger.settleLater({ program: key, attempt, spentTokens: 0 });
       }
-      throw this.refusalOf(error, steps);
+      throw this.refusalOf(error, trace);
     }
   }
 
@@ -157,7 +157,7 @@
     { description }: CallExchange,
     { attempt, program, previousTurn }: TurnIds,
     { deadlineMs, typicalMs }: TurnTime,
-    steps: ReservationTrace,
+    trace: ReservationTrace,
   ): Promise<Reservation> {
     const startedAt = monotonicMs();
     const cachedHistory =
@@ -174,23 +174,23 @@
     const usefulMs = deadlineMs - startedAt - typicalMs;
     // A cached history was read from the ledger or committed, so the previous turn is valid.
     const requiresLedger = previousTurn !== undefined && cachedHistory === undefined;
-    const answer = await this.options.ledger.reserve(request, usefulMs, !requiresLedger, steps);
+    const answer = await this.options.ledger.reserve(request, usefulMs, !requiresLedger, trace);
     const tookMs = monotonicMs() - startedAt;
     this.options.metrics.reservation.observe(tookMs / 1_000);
     if (answer.outcome !== 'granted') {
-      throw new RefusedError(answer.outcome, undefined, describeSteps(steps));
+      throw new RefusedError(answer.outcome, undefined, describeTrace(trace));
     }
     const history = cachedHistory ?? answer.history;
     if (previousTurn !== undefined && !history) {
-      steps.failedStep = 'read-history';
+      trace.failedStep = 'read-history';
       throw new HistoryMissingError('the ledger returned no history');
     }
     const { allowanceTaken, lastBackend } = answer;
-    return { program, attempt, previousTurn, history, tookMs, steps, allowanceTaken, lastBackend };
+    return { program, attempt, previousTurn, history, tookMs, trace, allowanceTaken, lastBackend };
   }
 
-  private refusalOf(error: unknown, steps: ReservationTrace): RefusedError {
-    const details = describeSteps(steps);
+  private refusalOf(error: unknown, trace: ReservationTrace): RefusedError {
+    const details = describeTrace(trace);
     if (error instanceof HistoryMissingError) {
       return new RefusedError('history-missing', error.comeBackMs, details);
     }
