--- a/src/directory/answer-turns.ts
+++ b/src/directory/answer-turns.ts
@@ -1,16 +1,16 @@
 /**
- * Spreads work that many wait for over turns of the event loop, so that timers and messages get
- * theirs in between.
+ * Spreads the continuations of many waiting callers over several turns of the event loop, so that
+ * timers and I/O run in between.
  */
 
 export class EventLoopThrottle {
   private readonly waiting: (() => void)[] = [];
   private isScheduled = false;
 
-  /** @param perTurn how many go on in one turn of the event loop */
+  /** @param perTurn number of callers that resume in one turn of the event loop */
   constructor(private readonly perTurn: number) {}
 
-  /** Resolves when it is the caller's turn, first come, first served. */
+  /** Resolves when the caller may resume, in first-in, first-out order. */
   next(): Promise<void> {
     return new Promise((resolve) => {
       this.waiting.push(resolve);
@@ -23,7 +23,7 @@
     this.isScheduled = true;
     setImmediate(() => {
       this.isScheduled = false;
-      for (const goOn of this.waiting.splice(0, this.perTurn)) goOn();
+      for (const resume of this.waiting.splice(0, this.perTurn)) resume();
       if (this.waiting.length > 0) this.schedule();
     });
   }
--- a/src/directory/backend-cache.ts
+++ b/src/directory/backend-cache.ts
@@ -1,6 +1,6 @@
 /**
- * The back ends as a follower of the directory holds them: whole states of some log index, never a mix of two,
- * and never older than what was held before.
+ * A watcher's copy of the registered backends. It always matches the state at a single log index and never goes
+ * back to an earlier one.
  */
 import type { BackendRecord, BackendRegistration } from './backend-registration.js';
 import type { BackendDelta, BackendUpdate } from './backend-updates.js';
@@ -12,30 +12,30 @@
 } from './silent-backend-tracker.js';
 
 export class BackendCache {
-  /** Log index of the last change that is held; 0 for none. */
+  /** Log index of the last applied change; 0 for none. */
   index = 0;
-  /** Of the silent back ends that are held. */
+  /** Version of the set of silent backends. */
   silence: SilenceVersion = INITIAL_SILENCE_VERSION;
   private byId = new Map<string, BackendRecord>();
-  /** Back ends whose heartbeats were missing when a leader last told of them. */
+  /** Ids of backends that missed heartbeats according to the last update of a leader. */
   private silent = new Set<string>();
 
   records(): BackendRecord[] {
     return [...this.byId.values()];
   }
 
-  /** Takes what is newer than what is held. */
-  apply(news: BackendUpdate): void {
-    if (news.index <= this.index) return;
-    for (const piece of news.pieces) this.takeChanges(unpackJson<BackendDelta>(piece));
+  /** Applies an update unless its index is not newer than the copy's. */
+  apply(update: BackendUpdate): void {
+    if (update.index <= this.index) return;
+    for (const piece of update.pieces) this.applyDelta(unpackJson<BackendDelta>(piece));
   }
 
-  /** Takes what the same leader, or a later one, tells of silent back ends. */
+  /** Applies a delta to the held version, or a whole set, of the same or a later leader. */
   applySilenceDelta({ afterCount, version, silent, heard }: SilenceDelta): void {
     if (version.term < this.silence.term) return;
     const isWhole = afterCount === undefined;
-    const follows = version.term === this.silence.term && afterCount === this.silence.count;
-    if (!isWhole && !follows) return;
+    const isNext = version.term === this.silence.term && afterCount === this.silence.count;
+    if (!isWhole && !isNext) return;
     const before = isWhole ? [...this.silent] : heard;
     for (const id of before) this.silent.delete(id);
     for (const id of silent) this.silent.add(id);
@@ -43,9 +43,9 @@
     this.silence = version;
   }
 
-  private takeChanges({ afterIndex, index, changed, gone }: BackendDelta): void {
+  private applyDelta({ afterIndex, index, changed, gone }: BackendDelta): void {
     if (afterIndex === undefined) this.byId = new Map();
-    // What follows on an earlier index holds the latest of all that changed since: another member may have told a part.
+    // A delta from an earlier index is complete: it holds the latest state of all that changed since that index.
     else if (afterIndex > this.index) return;
     for (const id of gone) this.byId.delete(id);
     for (const backend of changed) this.byId.set(backend.id, this.recordOf(backend));
--- a/src/directory/backend-registration.ts
+++ b/src/directory/backend-registration.ts
@@ -1,26 +1,26 @@
-/** Registrations of back-end incarnations: what one says of itself, and what is kept of it. */
+/** Registration of a backend incarnation, and the record that gateways keep of it. */
 
 export type BackendPhase = 'ready' | 'draining';
 
 import type { Incarnation } from './incarnation.js';
 
-/** What a back end says of itself in one heartbeat. */
+/** Contents of a backend's heartbeat. */
 export interface BackendRegistration extends Incarnation {
-  /** Of this start; see `incarnationId`. */
+  /** Id of the incarnation; see `incarnationId`. */
   id: string;
   service: string;
-  /** `host:port` where it serves. */
+  /** `host:port` that the backend listens on. */
   address: string;
   zone: string;
-  /** Calls that it works on at once. */
+  /** Maximum number of concurrent calls. */
   slots: number;
   phase: BackendPhase;
-  /** Rises with every message of this start, so that a late one can be told. */
+  /** Increases with every message of the incarnation, so that reordered messages are detected. */
   sequence: number;
 }
 
-/** A back end as gateways see it. */
+/** A backend as gateways see it. */
 export interface BackendRecord extends BackendRegistration {
-  /** Whether heartbeats have been missing for some time. */
+  /** Whether the backend has missed heartbeats. */
   isSilent: boolean;
 }
--- a/src/directory/backend-updates.ts
+++ b/src/directory/backend-updates.ts
@@ -1,65 +1,65 @@
-/** Tells those who follow the directory what has changed among the back ends since what they hold. */
+/** Builds the updates that bring a watcher's copy of the registered backends up to date. */
 import type { BackendRegistration } from './backend-registration.js';
 import { packJson } from './packed-json.js';
 
-/** How the back ends of a later log index differ from those of an earlier one. */
+/** Difference between the registered backends at two log indexes. */
 export interface BackendDelta {
-  /** Log index that they follow on; absent where `changed` is the whole list. */
+  /** Log index that the delta applies to; absent if `changed` is the whole list. */
   afterIndex?: number;
-  /** Log index that they lead to. */
+  /** Log index after the delta is applied. */
   index: number;
   changed: BackendRegistration[];
-  /** Ids of those that aren't registered any more. */
+  /** Ids of backends that are no longer registered. */
   gone: string[];
 }
 
-/** Packed `BackendChanges`, to be taken in their order. */
+/** Packed `BackendDelta`s, to be applied in order. */
 export interface BackendUpdate {
-  /** Log index that they lead to. */
+  /** Log index after all pieces are applied. */
   index: number;
   pieces: Uint8Array[];
 }
 
-/** Where the back ends and their changes are kept. */
+/** Source of the registered backends and of their change history. */
 export interface BackendHistory {
   /** Log index of the last change. */
   readonly backendsIndex: number;
   readonly backends: ReadonlyMap<string, BackendRegistration>;
-  /** Changes behind an index; nothing when they aren't known any more. */
+  /** Changes after an index; undefined if the history does not reach back that far. */
   backendChangesAfter(index: number): BackendDelta | undefined;
 }
 
-/** With more changes behind it, a packed list costs those who need one more than a new one costs the sender. */
-const MOST_CHANGES_BEHIND_LIST = 500;
+/** Above this number of changes, packing a new list is cheaper than sending the cached list and a delta. */
+const MAX_CHANGES_AFTER_CACHED_LIST = 500;
 
-interface PackedList {
+interface CachedList {
   index: number;
   packed: Uint8Array;
 }
 
 export class BackendUpdateSource {
-  private list: PackedList | undefined;
-  /** Packed changes up to the latest, by the index that they follow on. */
-  private readonly changes = new Map<number, Uint8Array>();
-  private changesIndex = 0;
+  private list: CachedList | undefined;
+  /** Packed deltas to the latest index, by the index that they apply to. */
+  private readonly deltas = new Map<number, Uint8Array>();
+  private deltasIndex = 0;
 
   constructor(private readonly history: BackendHistory) {}
 
-  /** @param heldIndex log index of what the asker holds; 0 for nothing */
+  /** @param heldIndex log index of the copy that the watcher holds; 0 for none */
   updateSince(heldIndex: number): BackendUpdate {
     const { backendsIndex: index } = this.history;
-    const changes = heldIndex > 0 ? this.changesAfter(heldIndex) : undefined;
+    const changes = heldIndex > 0 ? this.deltaAfter(heldIndex) : undefined;
     return { index, pieces: changes ? [changes] : this.wholeList() };
   }
 
-  /** A list that was packed before, and what has changed since: many that start at once cost one list. */
+  /** The cached list plus a delta, so that watchers that start at the same time share one packed list. */
   private wholeList(): Uint8Array[] {
     const { list, history } = this;
     if (list?.index === history.backendsIndex) return [list.packed];
     const changes = list && history.backendChangesAfter(list.index);
     const count = changes ? changes.changed.length + changes.gone.length : Infinity;
-    if (list && count <= MOST_CHANGES_BEHIND_LIST) {
-      return [list.packed, this.changesAfter(list.index)!];
+    if (list && count <= MAX_CHANGES_AFTER_CACHED_LIST) {
+      return [list.packed, this.deltaAfter(list.index)!];
     }
     this.list = { index: history.backendsIndex, packed: this.packList() };
     return [this.list.packed];
@@ -71,15 +71,15 @@
     return packJson(list);
   }
 
-  private changesAfter(index: number): Uint8Array | undefined {
-    if (this.changesIndex !== this.history.backendsIndex) this.changes.clear();
-    this.changesIndex = this.history.backendsIndex;
-    const packed = this.changes.get(index);
+  private deltaAfter(index: number): Uint8Array | undefined {
+    if (this.deltasIndex !== this.history.backendsIndex) this.deltas.clear();
+    this.deltasIndex = this.history.backendsIndex;
+    const packed = this.deltas.get(index);
     if (packed) return packed;
     const changes = this.history.backendChangesAfter(index);
     if (!changes) return undefined;
-    const fresh = packJson(changes);
-    this.changes.set(index, fresh);
-    return fresh;
+    const newlyPacked = packJson(changes);
+    this.deltas.set(index, newlyPacked);
+    return newlyPacked;
   }
 }
--- a/src/directory/change-history.ts
+++ b/src/directory/change-history.ts
@@ -1,41 +1,41 @@
-/** Which parts of a state changed at which index, so that one who holds an earlier state is told only these. */
+/** Records which entries changed at which log index, so that updates carry only what has changed. */
 
-interface NotedChange {
+interface RecordedChange {
   index: number;
   id: string;
 }
 
-/** One who is further behind is told the whole state. */
-const KEPT_CHANGES = 4_000;
+/** A watcher that lags by more changes gets the whole state. */
+const RETAINED_CHANGES = 4_000;
 
 export class ChangeHistory {
   /** Oldest first. */
-  private changes: NotedChange[] = [];
-  /** All changes behind this index are noted. */
+  private changes: RecordedChange[] = [];
+  /** All changes after this index are recorded. */
   private completeAfter = 0;
 
-  /** @param keptChanges how many of the latest changes are kept at least */
-  constructor(private readonly keptChanges = KEPT_CHANGES) {}
+  /** @param retainedChanges minimum number of changes that are retained */
+  constructor(private readonly retainedChanges = RETAINED_CHANGES) {}
 
-  /** @param index no lower than those before */
+  /** @param index not lower than in earlier calls */
   record(index: number, id: string): void {
     this.changes.push({ index, id });
-    // In large steps, since each takes as long as what is kept.
-    if (this.changes.length > 2 * this.keptChanges) this.dropOldest();
+    // Trims in large steps, because each trim copies the retained changes.
+    if (this.changes.length > 2 * this.retainedChanges) this.dropOldest();
   }
 
-  /** Nothing is known of how the state came to be what it is at an index. */
+  /** Discards the history, for example after a snapshot was restored at `index`. */
   reset(index: number): void {
     this.changes = [];
     this.completeAfter = index;
   }
 
-  /** What changed behind an index; nothing when that isn't known any more. */
+  /** Ids that changed after an index; undefined if the history does not reach back that far. */
   changedAfter(index: number): Set<string> | undefined {
     if (index < this.completeAfter) return undefined;
     const ids = new Set<string>();
-    for (let place = this.changes.length - 1; place >= 0; place -= 1) {
-      const change = this.changes[place]!;
+    for (let position = this.changes.length - 1; position >= 0; position -= 1) {
+      const change = this.changes[position]!;
       if (change.index <= index) break;
       ids.add(change.id);
     }
@@ -43,7 +43,7 @@
   }
 
   private dropOldest(): void {
-    const dropped = this.changes.length - this.keptChanges;
+    const dropped = this.changes.length - this.retainedChanges;
     this.completeAfter = this.changes[dropped - 1]!.index;
     this.changes = this.changes.slice(dropped);
   }
--- a/src/directory/directory-client.ts
+++ b/src/directory/directory-client.ts
@@ -1,4 +1,4 @@
-/** Reaches the directory's leader from any process. */
+/** Client of the directory, for use in any process. */
 import {
   type GroupCallOptions,
   type GroupClient,
@@ -29,17 +29,17 @@
 } from './messages.js';
 import { packConfiguration } from './packed-configuration.js';
 
-/** One member may take so long to say what it holds before the next is asked, in milliseconds. */
+/** Time limit for one member to return its committed update before the next member is asked. */
 export const COMMITTED_UPDATE_TIMEOUT_MS = 300;
-/** Time in which one order must be answered, in milliseconds. */
+/** Time limit for a request of an operator. */
 export const OPERATOR_REQUEST_TIMEOUT_MS = 2_500;
-/** Callers of registrations give up after a second. */
+/** Callers of registrations time out after one second. */
 export const REGISTRATION_TIMEOUT_MS = 800;
 const READ_TIMEOUT_MS = 900;
 const TRY_TIMEOUT_MS = 400;
 
 export class DirectoryClient {
-  /** @param groups knows the addresses of the control processes */
+  /** @param groups client that has the addresses of the control processes */
   constructor(private readonly groups: GroupClient) {}
 
   /** Resolves once the configuration, or one of a higher generation, is committed. */
@@ -48,13 +48,13 @@
     await this.call(PUT_CONFIGURATION, packed, OPERATOR_REQUEST_TIMEOUT_MS);
   }
 
-  /** The newest committed configuration as its operator sent it. */
+  /** The latest committed configuration, as the operator sent it. */
   async readConfiguration(): Promise<string | undefined> {
-    const answer = await this.call(READ_CONFIGURATION, {}, READ_TIMEOUT_MS);
-    return answer.source;
+    const response = await this.call(READ_CONFIGURATION, {}, READ_TIMEOUT_MS);
+    return response.source;
   }
 
-  /** Resolves once a registration's news, if there are any, are committed. */
+  /** Resolves once the changes that the registration brings, if any, are committed. */
   async recordHeartbeat(registration: BackendRegistration): Promise<void> {
     await this.call(HEARTBEAT, registration, REGISTRATION_TIMEOUT_MS);
   }
@@ -75,14 +75,14 @@
     await this.call(COMPLETE_RETIREMENT, { node }, OPERATOR_REQUEST_TIMEOUT_MS);
   }
 
-  /** Waits a while at the leader for news. */
+  /** Long poll: the leader responds when there is an update, or after `WATCH_LONG_POLL_MS`. */
   watch(request: WatchRequest, limits: GroupCallOptions): Promise<DirectoryView> {
     return callLeader(this.groups, DIRECTORY_GROUP, WATCH, request, limits);
   }
 
   /**
-   * Asks one member after the other, a call each, what it has applied.
-   * @throws LinkError, TimeoutError when that one doesn't answer
+   * Fetches what one member has applied; successive calls ask the members in turn.
+   * @throws LinkError, TimeoutError if that member does not respond
    */
   fetchCommittedUpdate(held: CommittedUpdateRequest): Promise<CommittedUpdate> {
     const limits = { timeoutMs: COMMITTED_UPDATE_TIMEOUT_MS };
--- a/src/directory/directory-commands.ts
+++ b/src/directory/directory-commands.ts
@@ -3,26 +3,29 @@
 import type { BackendRegistration } from './backend-registration.js';
 import type { PackedConfiguration } from './packed-configuration.js';
 
-/** Puts a configuration in force unless one of the same or a higher generation is. */
+/** Replaces the configuration unless the current one has the same or a higher generation. */
 export interface PutConfigurationCommand extends PackedConfiguration {
   kind: 'put-configuration';
 }
 
-/** Takes note of a back end's registration or change of phase. */
+/** Records a backend's registration or change of phase. */
 export interface RegisterBackendCommand {
   kind: 'register-backend';
   registration: BackendRegistration;
 }
 
-/** A back end has left, or has been silent for too long. */
+/** Removes a backend that has left or has missed heartbeats for too long. */
 export interface RemoveBackendCommand {
   kind: 'remove-backend';
   id: string;
-  /** It said so itself: no heartbeat that comes later counts. One that fell silent may come back. */
+  /**
+   * Whether the backend deregistered itself: later heartbeats of the incarnation are then ignored.
+   * A backend that was removed for missing heartbeats may register again.
+   */
   hasDeparted: boolean;
 }
 
-/** Names the members that found the ledger group; the first such command wins. */
+/** Sets the initial members of the ledger group; the first such command wins. */
 export interface FoundLedgerCommand {
   kind: 'found-ledger';
   founders: Member[];
@@ -38,7 +41,7 @@
   node: string;
 }
 
-/** What may be out of tenants' limits: all gateways that may hold shares, and tenants of whose limits they may hold rates. */
+/** Records which gateways may hold shares of tenants' limits, and for which tenants gateways may hold rates. */
 export interface SetQuotaSharesCommand {
   kind: 'set-quota-shares';
   gateways: string[];
@@ -54,7 +57,7 @@
   | CompleteRetirementCommand
   | SetQuotaSharesCommand;
 
-/** Whether a command changed anything. */
 export interface DirectoryResult {
+  /** Whether the command changed the state. */
   changed: boolean;
 }
--- a/src/directory/directory-leader.ts
+++ b/src/directory/directory-leader.ts
@@ -1,6 +1,6 @@
 /**
- * What the directory's leader does beside replicating: takes orders and registrations, answers
- * watchers, founds the ledger group, and takes silent back ends out.
+ * Duties of the directory's leader besides replication: handles operator requests and registrations,
+ * responds to watchers, bootstraps the ledger group, and removes backends that miss heartbeats.
  */
 import { LedgegaugeError, SignalEvent, describeError, monotonicMs } from '../common/index.js';
 import type { ReplicatedGroup } from '../consensus/index.js';
@@ -28,30 +28,27 @@
 import { NodeRoster } from './node-roster.js';
 import { SilentBackendTracker } from './silent-backend-tracker.js';
 
-/** How long a watcher waits for news at most, in milliseconds. */
+/** Maximum time for which the leader holds a watch request. */
 export const WATCH_LONG_POLL_MS = 200;
 /**
- * A change wakes the questions of all watchers. Answered in one turn of the event loop, they kept heartbeats and votes
- * back, and a leader of a tenth of a core lost its lead for its watchers alone.
+ * A change wakes the held requests of all watchers. Responding to all of them in one turn of the event loop would
+ * delay consensus heartbeats and votes, and could cost a leader on a slow machine its leadership.
  */
-const ANSWERS_PER_TURN = 8;
+const RESPONSES_PER_TURN = 8;
 const HOUSEKEEPING_INTERVAL_MS = 250;
-/** Changes of the cluster within this time are told together, in milliseconds. */
-const CLUSTER_NEWS_DELAY_MS = 100;
-/**
- * Changes of back ends within this time are told together, in milliseconds: while a fleet registers, each of its gateways is
- * answered so often and not once for each back end.
- */
-const BACKEND_NEWS_INTERVAL_MS = 100;
-/** A new leader has not heard of every process before this time, in milliseconds. */
+/** Cluster changes within this time are published together. */
+const CLUSTER_UPDATE_DELAY_MS = 100;
+/** Backend changes within this time are published together, so that a registering fleet wakes watchers less often. */
+const BACKEND_UPDATE_INTERVAL_MS = 100;
+/** Time after which a new leader's roster includes every running process. */
 const ROSTER_COMPLETE_AFTER_MS = 1_200;
 
 export interface DirectoryLeaderOptions {
-  /** Voters that the ledger group should have. */
+  /** Target number of voters in the ledger group. */
   ledgerVoters: number;
-  /** Time between two heartbeats of a back end, in milliseconds. */
+  /** Interval between heartbeats of a backend, in milliseconds. */
   heartbeatIntervalMs: number;
-  /** Members of the directory's own group, for watchers. */
+  /** Addresses of the directory group's members, which are sent to watchers. */
   controlAddresses: () => string[];
   logger: Logger;
 }
@@ -60,16 +57,16 @@
 const REMOVED_AFTER_INTERVALS = 12;
 
 /**
- * An acknowledged configuration is waited for so long at gateways that lag, in milliseconds. With the commit it
- * stays below the second after which an operator sends an order again.
+ * Time for which the acknowledgement of a configuration waits for lagging gateways. Together with the commit it
+ * stays below the one second after which operators retry.
  */
 export const CONFIGURATION_CONFIRM_MS = 800;
-/** The same for a back end that leaves, whose call is given up after 0.8 s, in milliseconds. */
+/** The same for a backend that leaves; its request times out after 0.8 s. */
 export const BACKENDS_CONFIRM_MS = 500;
-/** Names of lagging gateways in one log line. */
+/** Maximum number of lagging gateways named in a log entry. */
 const MAX_LOGGED_GATEWAYS = 8;
 
-/** The answer to a retirement order was not certain: this leader is too new to know all machines. */
+/** A retirement request was rejected because the new leader does not have the complete roster yet. */
 export class RosterIncompleteError extends LedgegaugeError {}
 
 export class DirectoryLeader {
@@ -78,21 +75,21 @@
   private readonly loads = new LoadReportStore();
   private readonly confirmations = new GatewayConfirmations();
   private readonly heartbeats: HeartbeatTable;
-  private readonly founding: LedgerBootstrap;
-  private readonly news = new SignalEvent();
-  private readonly answerTurns = new EventLoopThrottle(ANSWERS_PER_TURN);
+  private readonly ledgerBootstrap: LedgerBootstrap;
+  private readonly updates = new SignalEvent();
+  private readonly responseThrottle = new EventLoopThrottle(RESPONSES_PER_TURN);
   private readonly timer: NodeJS.Timeout;
   private group: ReplicatedGroup | undefined;
   private clusterVersion = 0;
-  /** What the latest cluster version stands for, to tell whether anything has changed. */
+  /** Content of the latest cluster version, to detect changes. */
   private clusterContent = '';
   private clusterTimer: NodeJS.Timeout | undefined;
-  private readonly silence = new SilentBackendTracker();
-  /** Log index of the changes of back ends for which waiting questions are answered. */
-  private toldBackendsIndex = 0;
-  private toldConfigurationIndex = 0;
-  private readonly backendNewsPacer = new NotificationThrottle(BACKEND_NEWS_INTERVAL_MS, () =>
-    this.tellBackends(),
+  private readonly silentBackends = new SilentBackendTracker();
+  /** Log index of the backends up to which waiting watchers were notified. */
+  private publishedBackendsIndex = 0;
+  private publishedConfigurationIndex = 0;
+  private readonly backendThrottle = new NotificationThrottle(BACKEND_UPDATE_INTERVAL_MS, () =>
+    this.publishBackends(),
   );
   private isHousekeeping = false;
 
@@ -102,8 +99,8 @@
       silentAfterMs: options.heartbeatIntervalMs * SILENT_AFTER_INTERVALS,
       removeAfterMs: options.heartbeatIntervalMs * REMOVED_AFTER_INTERVALS,
     });
-    this.founding = new LedgerBootstrap(options.ledgerVoters);
-    this.timer = setInterval(() => void this.keepHouse(), HOUSEKEEPING_INTERVAL_MS);
+    this.ledgerBootstrap = new LedgerBootstrap(options.ledgerVoters);
+    this.timer = setInterval(() => void this.runHousekeeping(), HOUSEKEEPING_INTERVAL_MS);
   }
 
   attach(group: ReplicatedGroup): void {
@@ -112,26 +109,26 @@
 
   onLeadershipChange(): void {
     this.heartbeats.clear();
-    this.silence.clear();
+    this.silentBackends.clear();
     this.loads.clear();
     this.confirmations.clear();
     this.roster.clear();
     this.clusterVersion += 1;
-    this.news.notify();
+    this.updates.notify();
   }
 
   stop(): void {
     clearInterval(this.timer);
     clearTimeout(this.clusterTimer);
-    this.backendNewsPacer.stop();
-    this.news.notify();
+    this.backendThrottle.stop();
+    this.updates.notify();
   }
 
-  /** Resolves when it is committed and gateways in touch act by it, or have been given time to. */
+  /** Resolves once the configuration is committed and active gateways have applied it, or a time limit has passed. */
   async putConfiguration(request: PutConfigurationRequest): Promise<void> {
     const { generation } = request;
     const held = this.stateMachine.configuration?.generation;
-    // What is held is committed, so an order that it overtook, or that is sent again, is done.
+    // The current configuration is committed, so a superseded or repeated request is complete.
     if (held !== undefined && held >= generation) {
       this.options.logger.info('configuration overtaken', { generation, held });
     } else {
@@ -142,7 +139,7 @@
     await this.confirm('configuration', CONFIGURATION_CONFIRM_MS);
   }
 
-  /** For a back end that leaves, resolves when gateways in touch know, or after a while. */
+  /** For a draining backend, resolves once active gateways know of it, or after a time limit. */
   async recordHeartbeat(registration: BackendRegistration): Promise<void> {
     const { id, service, phase, address } = registration;
     this.heartbeats.note(id);
@@ -153,7 +150,7 @@
     if (phase === 'draining') await this.confirm('backendsIndex', BACKENDS_CONFIRM_MS);
   }
 
-  /** Resolves when gateways in touch know, or after a while. */
+  /** Resolves once active gateways know of it, or after a time limit. */
   async removeBackend(incarnation: Incarnation): Promise<void> {
     for (const id of this.stateMachine.idsOf(incarnation)) {
       if (this.stateMachine.hasDeparted(id)) continue;
@@ -163,14 +160,17 @@
     await this.confirm('backendsIndex', BACKENDS_CONFIRM_MS);
   }
 
-  /** @throws RosterIncompleteError while this leader cannot tell which machines there are */
+  /** @throws RosterIncompleteError while this leader does not know all machines */
   async startRetirement(node: string): Promise<RetirementResponse> {
     if (this.stateMachine.retirements.has(node)) return 'accepted';
     const known = this.roster.find(node);
     const isNew = monotonicMs() - (this.group?.leadingSince ?? 0) < ROSTER_COMPLETE_AFTER_MS;
     if (isNew) {
       const context = { step: 'directory.start-retirement', peer: node, retriable: true };
-      throw new RosterIncompleteError('leading for too short a time', context);
+      throw new RosterIncompleteError(
+        'new leader has not received all node announcements yet',
+        context,
+      );
     }
     if (known?.role !== 'journal') return 'unknown-node';
     const remaining = this.roster
@@ -182,9 +182,9 @@
     return 'accepted';
   }
 
-  /** Resolves once it is committed what may be out of tenants' limits. */
-  async commitQuotaShares(out: { gateways: string[]; tenants: string[] }): Promise<void> {
-    const { gateways, tenants } = out;
+  /** Resolves once the gateways and tenants that may hold shares are committed. */
+  async commitQuotaShares(shares: { gateways: string[]; tenants: string[] }): Promise<void> {
+    const { gateways, tenants } = shares;
     await this.propose({ kind: 'set-quota-shares', gateways, tenants });
     const counts = { gateways: gateways.length, tenants: tenants.length };
     this.options.logger.info('shares of limits committed', counts);
@@ -200,21 +200,21 @@
   }
 
   /**
-   * Answers with what is newer than the watcher knows, or with nothing after a while. Only gateways
-   * need configurations and back ends.
+   * Responds with what is newer than the watcher's versions, or with an empty view after the long-poll
+   * time. Configurations and backends are sent to gateways only.
    */
   async watch(request: WatchRequest): Promise<DirectoryView> {
-    this.noteNode(request.node);
+    this.recordNode(request.node);
     if (request.node.role === 'gateway') {
       this.loads.report(request.node.name, request.loads);
       this.confirmations.note(request.node.name, request.known);
     }
     const deadline = monotonicMs() + WATCH_LONG_POLL_MS;
-    while (!request.isUrgent && !this.hasNewsFor(request) && this.group?.isLeader) {
-      const left = deadline - monotonicMs();
-      if (left <= 0) break;
-      await this.news.waitWithTimeout(left);
-      await this.answerTurns.next();
+    while (!request.isUrgent && !this.hasUpdateFor(request) && this.group?.isLeader) {
+      const remainingMs = deadline - monotonicMs();
+      if (remainingMs <= 0) break;
+      await this.updates.waitWithTimeout(remainingMs);
+      await this.responseThrottle.next();
     }
     const view = this.viewFor(request);
     if (request.node.role === 'gateway') view.loads = this.loads.totalsFor(request.node.name);
@@ -222,24 +222,24 @@
     return view;
   }
 
-  /** Whether a question need not wait any longer. */
-  private hasNewsFor({ node, known }: WatchRequest): boolean {
-    if (this.clusterVersionFor(known)) return true;
+  /** Whether a held request can be answered now. */
+  private hasUpdateFor({ node, known }: WatchRequest): boolean {
+    if (this.hasClusterUpdateFor(known)) return true;
     if (node.role !== 'gateway') return false;
     return (
       this.stateMachine.configurationIndex > known.configuration ||
-      this.toldBackendsIndex > known.backendsIndex ||
-      this.silence.hasUpdateFor(known.silence, this.term)
+      this.publishedBackendsIndex > known.backendsIndex ||
+      this.silentBackends.hasUpdateFor(known.silence, this.term)
     );
   }
 
-  /** What is newer than the watcher knows; calls under way are added to the answer itself. */
+  /** What is newer than the watcher's versions; the caller adds the loads. */
   private viewFor({ node, known }: WatchRequest): DirectoryView {
     const { stateMachine } = this;
     const view: DirectoryView = { confirmedAgeMs: Infinity };
-    const leads = this.group?.isLeader ?? false;
-    // A deposed leader's counts would pass for the next one's: its term is known here already.
-    if (leads && this.clusterVersionFor(known)) view.cluster = this.clusterView();
+    const isLeader = this.group?.isLeader ?? false;
+    // The term may already be the next leader's: versions of a deposed leader would be taken for that leader's.
+    if (isLeader && this.hasClusterUpdateFor(known)) view.cluster = this.clusterView();
     if (node.role !== 'gateway') return view;
     const {
       configuration,
@@ -250,17 +250,17 @@
     if (configuration && index > known.configuration) {
       view.configuration = { index, routes: configuration.routes };
     }
-    // One who holds none is told when there are none.
+    // A watcher that holds no backends also gets an empty list.
     if (backendsIndex > known.backendsIndex || known.backendsIndex === 0) {
       view.backends = backendUpdates.updateSince(known.backendsIndex);
     }
-    if (leads && this.silence.hasUpdateFor(known.silence, this.term)) {
-      view.silence = this.silence.updateSince(known.silence, this.term);
+    if (isLeader && this.silentBackends.hasUpdateFor(known.silence, this.term)) {
+      view.silence = this.silentBackends.updateSince(known.silence, this.term);
     }
     return view;
   }
 
-  /** On the monotonic clock, so that a standstill of this process counts. */
+  /** Uses the monotonic clock, so that stalls of this process count. */
   private get confirmedAgeMs(): number {
     return this.group ? monotonicMs() - this.group.quorumContactMs() : Infinity;
   }
@@ -269,7 +269,7 @@
     return this.group?.term ?? 0;
   }
 
-  private clusterVersionFor(known: KnownVersions): boolean {
+  private hasClusterUpdateFor(known: KnownVersions): boolean {
     return known.cluster !== this.clusterVersionText();
   }
 
@@ -290,26 +290,26 @@
 
   private ledgerAddresses(): string[] {
     const announced = this.roster.known('journal').map((node) => node.address);
-    const founding = this.stateMachine.ledgerFounders.map((member) => member.address);
-    return [...new Set([...announced, ...founding])];
+    const ledgerBootstrap = this.stateMachine.ledgerFounders.map((member) => member.address);
+    return [...new Set([...announced, ...ledgerBootstrap])];
   }
 
-  private noteNode(node: NodeAnnouncement): void {
+  private recordNode(node: NodeAnnouncement): void {
     if (!this.roster.note(node)) return;
-    if (node.role === 'journal') this.founding.noteJournal();
+    if (node.role === 'journal') this.ledgerBootstrap.recordJournal();
     this.options.logger.info('process announced', { node: node.name, role: node.role });
-    this.scheduleClusterNews();
+    this.scheduleClusterUpdate();
   }
 
-  private async keepHouse(): Promise<void> {
+  private async runHousekeeping(): Promise<void> {
     if (!this.group?.isLeader || this.isHousekeeping) return;
     this.isHousekeeping = true;
     try {
       this.refreshSilent();
-      this.roster.forgetSilent();
+      this.roster.removeSilent();
       this.tellClusterNews();
-      await this.foundLedgerIfDue();
-      await this.removeLostBackends();
+      await this.bootstrapLedgerIfDue();
+      await this.removeExpiredBackends();
     } catch (error) {
       this.options.logger.warn('housekeeping failed', { description: describeError(error) });
     } finally {
@@ -320,17 +320,17 @@
   private refreshSilent(): void {
     const { backends } = this.stateMachine;
     this.heartbeats.keepOnly(backends);
-    const before = this.silence.ids;
+    const before = this.silentBackends.ids;
     const silent = this.heartbeats.silentOf(backends.keys());
-    if (!this.silence.update(silent)) return;
+    if (!this.silentBackends.update(silent)) return;
     this.options.logger.info('silent back ends changed', {
       silent: namesOf(silent),
       before: namesOf(before),
     });
-    this.news.notify();
+    this.updates.notify();
   }
 
-  private async removeLostBackends(): Promise<void> {
+  private async removeExpiredBackends(): Promise<void> {
     for (const id of [...this.stateMachine.backends.keys()]) {
       if (!this.heartbeats.isLost(id)) continue;
       await this.propose({ kind: 'remove-backend', id, hasDeparted: false });
@@ -338,9 +338,9 @@
     }
   }
 
-  private async foundLedgerIfDue(): Promise<void> {
+  private async bootstrapLedgerIfDue(): Promise<void> {
     if (this.stateMachine.ledgerFounders.length > 0) return;
-    const founders = this.founding.dueFounders(this.roster.present('journal'));
+    const founders = this.ledgerBootstrap.dueFounders(this.roster.present('journal'));
     if (!founders) return;
     await this.propose({ kind: 'found-ledger', founders });
     const names = founders.map((member) => member.name).join(',');
@@ -349,41 +349,42 @@
 
   private onStateChanged(): void {
     const { configurationIndex, backendsIndex } = this.stateMachine;
-    if (configurationIndex !== this.toldConfigurationIndex) this.news.notify();
-    this.toldConfigurationIndex = configurationIndex;
-    if (backendsIndex !== this.toldBackendsIndex) this.backendNewsPacer.schedule();
-    this.scheduleClusterNews();
+    if (configurationIndex !== this.publishedConfigurationIndex) this.updates.notify();
+    this.publishedConfigurationIndex = configurationIndex;
+    if (backendsIndex !== this.publishedBackendsIndex) this.backendThrottle.schedule();
+    this.scheduleClusterUpdate();
   }
 
-  private tellBackends(): void {
-    this.toldBackendsIndex = this.stateMachine.backendsIndex;
-    this.news.notify();
+  private publishBackends(): void {
+    this.publishedBackendsIndex = this.stateMachine.backendsIndex;
+    this.updates.notify();
   }
 
-  /** Many processes announce themselves at once; each piece of news goes to every watcher. */
-  private scheduleClusterNews(): void {
+  /** Batches announcements, because each cluster version is sent to every watcher. */
+  private scheduleClusterUpdate(): void {
     this.clusterTimer ??= setTimeout(() => {
       this.clusterTimer = undefined;
       this.tellClusterNews();
-    }, CLUSTER_NEWS_DELAY_MS);
+    }, CLUSTER_UPDATE_DELAY_MS);
   }
 
-  /** Makes a new version of the cluster's view if it differs from the one before. */
+  /** Publishes a new version of the cluster view if its content has changed. */
   private tellClusterNews(): void {
     const { version: _version, ...content } = this.clusterView();
     const text = JSON.stringify(content);
     if (text === this.clusterContent) return;
     this.clusterContent = text;
     this.clusterVersion += 1;
-    this.news.notify();
+    this.updates.notify();
   }
 
-  /** Waits until gateways in touch hold what this leader holds of a part of the directory now. */
+  /** Waits until active gateways have applied the current version of a part of the directory. */
   private async confirm(part: ConfirmedPart, timeoutMs: number): Promise<void> {
     const { configurationIndex, backendsIndex } = this.stateMachine;
     const index = part === 'configuration' ? configurationIndex : backendsIndex;
     const leadingSince = this.group?.leadingSince ?? 0;
-    if (index !== this.toldBackendsIndex && part === 'backendsIndex') this.backendNewsPacer.flush();
+    if (index !== this.publishedBackendsIndex && part === 'backendsIndex')
+      this.backendThrottle.flush();
     const lagging = await this.confirmations.wait({ part, index, timeoutMs, leadingSince });
     if (lagging.length === 0) return;
     const names = lagging.slice(0, MAX_LOGGED_GATEWAYS).join(',');
--- a/src/directory/directory-service.ts
+++ b/src/directory/directory-service.ts
@@ -1,4 +1,4 @@
-/** Serves the directory's methods on a control process; only the leader answers all but one of them. */
+/** RPC handlers of the directory on a control process; all but `COMMITTED_UPDATE` are served by the leader only. */
 import { type ReplicatedGroup, answerAsLeader } from '../consensus/index.js';
 import type { MethodRouter } from '../wire/index.js';
 import type { DirectoryLeader } from './directory-leader.js';
--- a/src/directory/directory-state-machine.ts
+++ b/src/directory/directory-state-machine.ts
@@ -1,6 +1,6 @@
 /**
- * The replicated directory: the configuration in force, the registered back ends, the founders of
- * the ledger group and the machines that are being emptied.
+ * Replicated state of the directory: the current configuration, the registered backends, the founders
+ * of the ledger group and the machines that are being retired.
  */
 import type { Member, StateMachine } from '../consensus/index.js';
 import { decodeValue, encodeValue } from '../wire/index.js';
@@ -20,16 +20,16 @@
 
 export type RetirementState = 'running' | 'complete';
 
-/** Ids of back ends that have left are remembered, so that a late heartbeat does not revive one. */
+/** Ids of backends that have left are kept, so that a late heartbeat does not register one again. */
 const MAX_REMEMBERED_DEPARTURES = 2_000;
-/** Back ends that were silent for long are remembered in the same way. */
+/** Limit for backends that were removed for missing heartbeats. */
 const MAX_REMEMBERED_LOSSES = 2_000;
 
-/** What may be out of tenants' limits. */
+/** Shares of tenants' limits that may be held by gateways. */
 export interface QuotaShares {
   /** Gateways that may hold shares. */
   gateways: ReadonlySet<string>;
-  /** Tenants of whose limits gateways may hold rates. */
+  /** Tenants for whose limits gateways may hold rates. */
   tenants: ReadonlySet<string>;
 }
 
@@ -40,8 +40,8 @@
   backendsIndex: number;
   departed: Set<string>;
   /**
-   * Addresses of back ends that were taken out for their silence, by id. One may come back, but not once another
-   * has its address: a heartbeat that was held up would take the living one out.
+   * Addresses of backends that were removed for missing heartbeats, by id. Such a backend may register again, unless
+   * another one has taken its address: a delayed heartbeat must not replace the running backend.
    */
   lost: Map<string, string>;
   ledgerFounders: Member[];
@@ -49,7 +49,7 @@
   quotaShares: QuotaShares;
 }
 
-/** The state with lists in place of maps and sets. */
+/** Snapshot encoding of the state: maps and sets as lists. */
 interface EncodedDirectoryState {
   configuration?: PackedConfiguration;
   configurationIndex: number;
@@ -59,7 +59,7 @@
   lost: [string, string][];
   ledgerFounders: Member[];
   retirements: [string, RetirementState][];
-  /** Absent in snapshots of releases without limits of tenants. */
+  /** Absent in snapshots of releases without tenant limits. */
   quotaShares?: { gateways: string[]; tenants: string[] };
 }
 
@@ -67,13 +67,13 @@
 const CHANGED: DirectoryResult = { changed: true };
 
 export class DirectoryStateMachine implements StateMachine, BackendHistory {
-  /** Packed for those who follow the directory. */
+  /** Packed updates for watchers. */
   readonly backendUpdates = new BackendUpdateSource(this);
   private state: DirectoryState = emptyState();
 
   /**
    * @param onChange called after each command that changed the state
-   * @param backendHistory not replicated: each member notes what it applies
+   * @param backendHistory not replicated: each member records what it applies
    */
   constructor(
     private readonly onChange: () => void = () => undefined,
@@ -84,7 +84,7 @@
     return this.state.configuration;
   }
 
-  /** Log index at which the configuration came into force; 0 before the first. */
+  /** Log index at which the configuration was applied; 0 before the first. */
   get configurationIndex(): number {
     return this.state.configurationIndex;
   }
@@ -93,7 +93,7 @@
     return this.state.backends.byId;
   }
 
-  /** Log index of the last change of back ends. */
+  /** Log index of the last change of the backends. */
   get backendsIndex(): number {
     return this.state.backendsIndex;
   }
@@ -119,7 +119,7 @@
     return this.state.retirements;
   }
 
-  /** What may be out of tenants' limits: a new leader hears of it before it gives any away. */
+  /** A new leader reads the shares that may be held before it grants any. */
   get quotaShares(): QuotaShares {
     return this.state.quotaShares;
   }
@@ -128,7 +128,7 @@
     return this.state.departed.has(id);
   }
 
-  /** Ids of the starts that somebody who leaves may mean: one that isn't registered is named by itself. */
+  /** Ids of the registered incarnations that match; the incarnation's own id if none is registered. */
   idsOf(incarnation: Incarnation): string[] {
     const { name, startedAt } = incarnation;
     const registered = this.state.backends
@@ -137,7 +137,7 @@
     return registered.length > 0 ? registered.map(({ id }) => id) : [incarnationId(incarnation)];
   }
 
-  /** Whether a registration would change what is kept of its back end. */
+  /** Whether a registration would change the stored state. */
   isChange(registration: BackendRegistration): boolean {
     if (this.state.departed.has(registration.id)) return false;
     const known = this.state.backends.get(registration.id);
@@ -150,17 +150,17 @@
     );
   }
 
-  /** What was applied here after what the asker holds. */
+  /** What this member has applied after the versions that the watcher holds. */
   committedUpdateSince(held: CommittedUpdateRequest): CommittedUpdate {
     const { configuration, configurationIndex, backendsIndex } = this.state;
-    const news: CommittedUpdate = {};
+    const update: CommittedUpdate = {};
     if (configuration && configurationIndex > held.configurationIndex) {
-      news.configuration = { index: configurationIndex, routes: configuration.routes };
+      update.configuration = { index: configurationIndex, routes: configuration.routes };
     }
     if (backendsIndex > held.backendsIndex) {
-      news.backends = this.backendUpdates.updateSince(held.backendsIndex);
+      update.backends = this.backendUpdates.updateSince(held.backendsIndex);
     }
-    return news;
+    return update;
   }
 
   apply(command: Uint8Array, index: number): DirectoryResult {
@@ -190,7 +190,7 @@
     this.state = {
       ...encoded,
       configuration: encoded.configuration ?? undefined,
-      backends: new RegisteredBackends(encoded.backends.map(named)),
+      backends: new RegisteredBackends(encoded.backends.map(withName)),
       departed: new Set(encoded.departed),
       lost: new Map(encoded.lost),
       retirements: new Map(encoded.retirements),
@@ -234,11 +234,11 @@
   private register(registration: BackendRegistration, index: number): DirectoryResult {
     if (!this.isChange(registration)) return NOTHING_CHANGED;
     const known = this.state.backends.get(registration.id);
-    // A drain is final: a later "ready" of the same incarnation can only be a mistake.
+    // A drain is final for an incarnation.
     if (known?.phase === 'draining' && registration.phase === 'ready') return NOTHING_CHANGED;
     const { id, name, address } = registration;
     for (const other of this.state.backends.havingNameOrAddress(name, address)) {
-      if (other.id !== id) this.forget(other.id, index);
+      if (other.id !== id) this.markDeparted(other.id, index);
     }
     this.replaceLost(registration, index);
     this.state.backends.set(registration);
@@ -247,50 +247,50 @@
     return CHANGED;
   }
 
-  /** Whether a later start is known, of the same back end or of another one that says so at its address. */
+  /** Whether a later incarnation is registered under the same name, or at the same address with a later start time. */
   private isOutdated(registration: BackendRegistration): boolean {
     const { name, address } = registration;
     return this.state.backends.havingNameOrAddress(name, address).some((known) => {
       if (known.name === name) return isLaterIncarnation(known, registration);
-      const bothSay = known.startedAt !== undefined && registration.startedAt !== undefined;
-      return known.address === address && bothSay && isLaterIncarnation(known, registration);
+      const haveStartTimes = known.startedAt !== undefined && registration.startedAt !== undefined;
+      return known.address === address && haveStartTimes && isLaterIncarnation(known, registration);
     });
   }
 
   private remove(id: string, hasDeparted: boolean, index: number): DirectoryResult {
     const known = this.state.backends.get(id);
-    if (hasDeparted) this.forget(id, index);
-    else if (known) this.noteLost(known, index);
+    if (hasDeparted) this.markDeparted(id, index);
+    else if (known) this.recordLost(known, index);
     if (!known) return NOTHING_CHANGED;
     this.state.backendsIndex = index;
     return CHANGED;
   }
 
-  private forget(id: string, index: number): void {
+  private markDeparted(id: string, index: number): void {
     const { departed, lost } = this.state;
-    this.takeOut(id, index);
+    this.removeRegistration(id, index);
     lost.delete(id);
     departed.add(id);
     dropOldest(departed, MAX_REMEMBERED_DEPARTURES);
   }
 
-  private noteLost({ id, address }: BackendRegistration, index: number): void {
+  private recordLost({ id, address }: BackendRegistration, index: number): void {
     const { lost } = this.state;
-    this.takeOut(id, index);
+    this.removeRegistration(id, index);
     lost.set(id, address);
     dropOldest(lost, MAX_REMEMBERED_LOSSES);
   }
 
-  private takeOut(id: string, index: number): void {
+  private removeRegistration(id: string, index: number): void {
     if (this.state.backends.delete(id)) this.backendHistory.record(index, id);
   }
 
-  /** Those that were lost at the address, or before this start, are over; this one is lost no more. */
+  /** Marks lost backends with the same address or name as departed; the registering one is no longer lost. */
   private replaceLost({ id, name, address }: BackendRegistration, index: number): void {
     const { lost } = this.state;
     lost.delete(id);
     for (const [other, otherAddress] of [...lost]) {
-      if (otherAddress === address || isIncarnationOf(other, name)) this.forget(other, index);
+      if (otherAddress === address || isIncarnationOf(other, name)) this.markDeparted(other, index);
     }
   }
 
@@ -308,19 +308,19 @@
   }
 }
 
-function quotaSharesOf(out: { gateways: string[]; tenants: string[] } | undefined): QuotaShares {
-  return { gateways: new Set(out?.gateways), tenants: new Set(out?.tenants) };
+function quotaSharesOf(shares: { gateways: string[]; tenants: string[] } | undefined): QuotaShares {
+  return { gateways: new Set(shares?.gateways), tenants: new Set(shares?.tenants) };
 }
 
-/** Snapshots of earlier releases hold ids only, which were names of single starts. */
-function named(backend: BackendRegistration): BackendRegistration {
+/** Snapshots of earlier releases hold only ids, which then also were the names. */
+function withName(backend: BackendRegistration): BackendRegistration {
   return { ...backend, name: backend.name ?? backend.id };
 }
 
-/** Sets and maps keep the order in which their entries came. */
-function dropOldest(remembered: Set<string> | Map<string, string>, most: number): void {
-  const oldest = remembered.keys().next().value;
-  if (remembered.size > most && oldest !== undefined) remembered.delete(oldest);
+/** Relies on the insertion order of sets and maps. */
+function dropOldest(entries: Set<string> | Map<string, string>, maximum: number): void {
+  const oldest = entries.keys().next().value;
+  if (entries.size > maximum && oldest !== undefined) entries.delete(oldest);
 }
 
 function emptyState(): DirectoryState {
--- a/src/directory/directory-watcher.ts
+++ b/src/directory/directory-watcher.ts
@@ -1,7 +1,7 @@
 /**
- * Follows the directory from a process that is no member of its group: one task asks the leader
- * for news again and again. While no leader answers, another one asks the other members what they hold.
- * What is held goes on being used meanwhile, and is never replaced by anything older.
+ * Watches the directory from a process that is not a member of its group. One task long-polls the leader;
+ * while no leader responds, another one polls the other members. The current state stays in use meanwhile
+ * and is never replaced by an older one.
  */
 import { Backoff, describeError, monotonicMs, sleep } from '../common/index.js';
 import type { GroupCallOptions } from '../consensus/index.js';
@@ -23,23 +23,22 @@
 import { unpackJson } from './packed-json.js';
 import type { SilenceDelta } from './silent-backend-tracker.js';
 
-/** The answer of a leader that is behind is waited for so long, in milliseconds. */
+/** Total time limit of a watch request, long enough for a lagging leader. */
 export const WATCH_TIMEOUT_MS = 3_000;
-/** One leader may take so long before others are asked, of which it holds the question for a part. */
+/** Time limit for one member to respond, including the long poll, before others are asked. */
 export const WATCH_TRY_TIMEOUT_MS = 450;
-/** Pause between members that are asked; all gateways ask at once while there is no leader. */
+/** Maximum pause between attempts; without a leader all gateways retry at the same time. */
 export const WATCH_MAXIMUM_PAUSE_MS = 150;
 const FIRST_RETRY_DELAY_MS = 50;
 const MAXIMUM_RETRY_DELAY_MS = 400;
 
 /**
- * Without an answer of the leader for so long, the other members are asked, in milliseconds: three of the
- * times for which a leader holds a question. A drain that was acknowledged reaches a gateway beside a silent leader
- * within 1 s; from the leader alone it came after 2.9 s, or not at all, where gateways have 2 s.
+ * Time without a response of the leader after which the other members are polled: three long polls. It bounds
+ * the time until an acknowledged drain reaches a gateway whose leader is unresponsive.
  */
 export const LEADER_OVERDUE_MS = 600;
-/** Time between two members that are asked, in milliseconds; spread, since all gateways ask at once. */
-const MEMBER_INTERVAL_MS = 150;
+/** Minimum time between polls of members; jitter is added because all gateways poll at the same time. */
+const MIN_MEMBER_POLL_INTERVAL_MS = 150;
 export const MAX_MEMBER_POLL_INTERVAL_MS = 225;
 
 const WATCH_LIMITS: GroupCallOptions = {
@@ -51,7 +50,7 @@
 export interface DirectoryWatcherOptions {
   client: DirectoryClient;
   announce: () => NodeAnnouncement;
-  /** Calls under way at this process by back end. @default none */
+  /** Calls in flight from this process, by backend. @default none */
   loads?: () => BackendLoad[];
   logger: Logger;
   onConfiguration?: (configuration: RouteConfiguration) => void;
@@ -65,7 +64,7 @@
   private readonly backends = new BackendCache();
   private clusterVersion = '';
   private leaderAnsweredAt = Number.NEGATIVE_INFINITY;
-  /** What is held was in force then, whoever led (monotonic, milliseconds). */
+  /** A quorum confirmed the state held here as current at this time (monotonic, milliseconds). */
   private confirmedAt = Number.NEGATIVE_INFINITY;
   private isConnected = false;
   private readonly stopping = new AbortController();
@@ -74,21 +73,21 @@
 
   start(): void {
     void this.run();
-    if (this.options.onBackends) void this.followMembers();
+    if (this.options.onBackends) void this.pollMembers();
   }
 
   stop(): void {
     this.stopping.abort();
   }
 
-  /** Time since a leader last answered, in milliseconds. */
+  /** Time since the last request that a leader answered was sent, in milliseconds. */
   get leaderContactAgeMs(): number {
     return monotonicMs() - this.leaderAnsweredAt;
   }
 
   /**
-   * Time since a majority of the directory stood behind what is held, in milliseconds. What only one member told
-   * may bring news, but makes nothing that is held any younger.
+   * Time since a quorum of the directory confirmed the state held here, in milliseconds. Updates from a single member
+   * do not reset it.
    */
   get confirmedAgeMs(): number {
     return monotonicMs() - this.confirmedAt;
@@ -102,41 +101,39 @@
     });
     while (!this.stopping.signal.aborted) {
       try {
-        const askedAt = monotonicMs();
+        const requestedAt = monotonicMs();
         const view = await this.options.client.watch(this.request(isUrgent), WATCH_LIMITS);
         backoff.reset();
-        this.leaderAnsweredAt = askedAt;
+        this.leaderAnsweredAt = requestedAt;
         isUrgent = false;
-        this.noteConnected(true, '');
-        this.take(view);
-        this.confirmedAt = Math.max(this.confirmedAt, askedAt - view.confirmedAgeMs);
+        this.setConnected(true, '');
+        this.applyView(view);
+        this.confirmedAt = Math.max(this.confirmedAt, requestedAt - view.confirmedAgeMs);
       } catch (error) {
         isUrgent = true;
-        this.noteConnected(false, describeError(error));
+        this.setConnected(false, describeError(error));
         await sleep(backoff.nextDelayMs(), this.stopping.signal);
       }
     }
   }
 
-  /**
-   * A process that no leader has answered yet waits for one: a member that has just started may hold what
-   * is long out of force.
-   */
-  private async followMembers(): Promise<void> {
+  /** Members are polled only after a leader has responded once: a member that just started may hold outdated state. */
+  private async pollMembers(): Promise<void> {
     const { signal } = this.stopping;
     while (!signal.aborted) {
-      const spreadMs = Math.random() * (MAX_MEMBER_POLL_INTERVAL_MS - MEMBER_INTERVAL_MS);
-      await sleep(MEMBER_INTERVAL_MS + spreadMs, signal);
-      const hasHeardLeader = Number.isFinite(this.leaderAnsweredAt);
-      if (hasHeardLeader && this.leaderContactAgeMs > LEADER_OVERDUE_MS) await this.askMember();
+      const jitterMs = Math.random() * (MAX_MEMBER_POLL_INTERVAL_MS - MIN_MEMBER_POLL_INTERVAL_MS);
+      await sleep(MIN_MEMBER_POLL_INTERVAL_MS + jitterMs, signal);
+      const hasLeaderResponded = Number.isFinite(this.leaderAnsweredAt);
+      if (hasLeaderResponded && this.leaderContactAgeMs > LEADER_OVERDUE_MS)
+        await this.pollMember();
     }
   }
 
-  private async askMember(): Promise<void> {
+  private async pollMember(): Promise<void> {
     const { configurationIndex } = this;
     try {
       const held = { configurationIndex, backendsIndex: this.backends.index };
-      this.takeCommitted(await this.options.client.fetchCommittedUpdate(held));
+      this.applyCommittedUpdate(await this.options.client.fetchCommittedUpdate(held));
     } catch (error) {
       const reason = describeError(error);
       this.options.logger.debug('member told no news', { reason });
@@ -157,19 +154,19 @@
     };
   }
 
-  private take(view: DirectoryView): void {
+  private applyView(view: DirectoryView): void {
     if (view.cluster) {
       this.clusterVersion = view.cluster.version;
       this.options.onCluster?.(view.cluster);
     }
-    this.takeBackends(view);
-    if (view.configuration) this.takeConfiguration(view.configuration);
+    this.applyBackends(view);
+    if (view.configuration) this.applyConfiguration(view.configuration);
     if (view.loads) this.options.onOtherLoads?.(loadsOfOtherGateways(view.loads));
   }
 
-  /** What is held of silent back ends stays: only a leader knows of them. */
-  private takeCommitted({ configuration, backends }: CommittedUpdate): void {
-    if (configuration) this.takeConfiguration(configuration);
+  /** Leaves the silent backends unchanged: only a leader knows them. */
+  private applyCommittedUpdate({ configuration, backends }: CommittedUpdate): void {
+    if (configuration) this.applyConfiguration(configuration);
     if (!backends || backends.index <= this.backends.index) return;
     const { index } = backends;
     const leaderAgeMs = Math.round(this.leaderContactAgeMs);
@@ -178,7 +175,7 @@
     this.options.onBackends?.(this.backends.records());
   }
 
-  private takeConfiguration({ index, routes }: ConfigurationView): void {
+  private applyConfiguration({ index, routes }: ConfigurationView): void {
     if (index <= this.configurationIndex) return;
     const configuration = unpackRoutes(routes);
     this.configurationIndex = index;
@@ -188,15 +185,15 @@
     this.options.onConfiguration?.(configuration);
   }
 
-  /** Both parts are taken before anything acts by either. */
-  private takeBackends({ backends, silence }: DirectoryView): void {
+  /** Applies both parts before listeners are called. */
+  private applyBackends({ backends, silence }: DirectoryView): void {
     if (!backends && !silence) return;
     if (backends) this.backends.apply(backends);
     if (silence) this.backends.applySilenceDelta(unpackJson<SilenceDelta>(silence));
     this.options.onBackends?.(this.backends.records());
   }
 
-  private noteConnected(isConnected: boolean, reason: string): void {
+  private setConnected(isConnected: boolean, reason: string): void {
     if (this.isConnected === isConnected) return;
     this.isConnected = isConnected;
     if (isConnected) this.options.logger.info('directory regained', {});
--- a/src/directory/gateway-confirmations.ts
+++ b/src/directory/gateway-confirmations.ts
@@ -1,49 +1,48 @@
 /**
- * What each gateway acts by, as its questions for news say; kept in the leader's memory only. An order
- * is acknowledged once all gateways in touch hold it: before, an acknowledgement meant only that the
- * group had committed, and nothing bounded the time until calls went by it.
+ * Tracks, in the leader's memory, which versions each gateway reports in its watch requests. A change is
+ * acknowledged once all active gateways have applied it, not merely when the group has committed it.
  */
 import { SignalEvent, monotonicMs } from '../common/index.js';
 import type { KnownVersions } from './messages.js';
 
 /**
- * A gateway that has not asked for so long is not waited for, in milliseconds: three of the times for
- * which a question is held, so that one that was killed delays an order by no more.
+ * Acknowledgements do not wait for a gateway that has sent no watch request for this time: three long polls, so
+ * that a gateway that was killed delays them by no more.
  */
 export const GATEWAY_ACTIVE_WINDOW_MS = 600;
 
-/** The parts of the directory that gateways act by. */
+/** Parts of the directory whose application gateways confirm. */
 export type ConfirmedPart = 'configuration' | 'backendsIndex';
 
-interface GatewayKnowledge {
+interface GatewayState {
   known: KnownVersions;
-  askedAt: number;
+  requestedAt: number;
 }
 
 export interface AwaitedChange {
   part: ConfirmedPart;
   /** Log index at which the change was made. */
   index: number;
-  /** How long gateways are waited for at most, in milliseconds. */
+  /** Maximum time to wait for gateways, in milliseconds. */
   timeoutMs: number;
-  /** Since when this process leads; before a while later not all gateways have asked (monotonic). */
+  /** Start of this process's leadership (monotonic); a new leader has not heard from all gateways yet. */
   leadingSince: number;
 }
 
 export class GatewayConfirmations {
-  private readonly gateways = new Map<string, GatewayKnowledge>();
-  private readonly asked = new SignalEvent();
+  private readonly gateways = new Map<string, GatewayState>();
+  private readonly requestReceived = new SignalEvent();
   private waiting = 0;
 
-  /** A gateway asks for news, and says what it holds. */
+  /** Records the versions that a gateway reports in a watch request. */
   note(name: string, known: KnownVersions): void {
-    this.gateways.set(name, { known, askedAt: monotonicMs() });
-    if (this.waiting > 0) this.asked.notify();
+    this.gateways.set(name, { known, requestedAt: monotonicMs() });
+    if (this.waiting > 0) this.requestReceived.notify();
   }
 
   /**
-   * Waits until the gateways in touch hold a change.
-   * @returns the names of those that did not in time
+   * Waits until the active gateways have applied a change.
+   * @returns the names of those that have not in time
    */
   async wait(change: AwaitedChange): Promise<string[]> {
     this.waiting += 1;
@@ -60,9 +59,11 @@
       const now = monotonicMs();
       const lagging = this.lagging(part, index, now);
       const isSettled = lagging.length === 0 && now >= allKnownAt;
-      const leftMs = startedAt + timeoutMs - now;
-      if (isSettled || leftMs <= 0) return lagging;
-      await this.asked.waitWithTimeout(this.nextLookMs(lagging, now, leftMs, allKnownAt));
+      const remainingMs = startedAt + timeoutMs - now;
+      if (isSettled || remainingMs <= 0) return lagging;
+      await this.requestReceived.waitWithTimeout(
+        this.nextCheckMs(lagging, now, remainingMs, allKnownAt),
+      );
     }
   }
 
@@ -70,27 +71,27 @@
     this.gateways.clear();
   }
 
-  /** Gateways in touch that hold something older; those out of touch are forgotten. */
+  /** Active gateways that hold an older version; inactive ones are dropped. */
   private lagging(part: ConfirmedPart, index: number, now: number): string[] {
     const names: string[] = [];
-    for (const [name, { known, askedAt }] of this.gateways) {
-      if (now - askedAt > GATEWAY_ACTIVE_WINDOW_MS) this.gateways.delete(name);
+    for (const [name, { known, requestedAt }] of this.gateways) {
+      if (now - requestedAt > GATEWAY_ACTIVE_WINDOW_MS) this.gateways.delete(name);
       else if (known[part] < index) names.push(name);
     }
     return names;
   }
 
-  /** Time until a lagging gateway counts as out of touch, or all are known. */
-  private nextLookMs(
+  /** Time until a lagging gateway becomes inactive, or all gateways are known. */
+  private nextCheckMs(
     lagging: readonly string[],
     now: number,
-    leftMs: number,
+    remainingMs: number,
     allKnownAt: number,
   ): number {
-    const ends = lagging.map(
-      (name) => this.gateways.get(name)!.askedAt + GATEWAY_ACTIVE_WINDOW_MS - now,
+    const expiries = lagging.map(
+      (name) => this.gateways.get(name)!.requestedAt + GATEWAY_ACTIVE_WINDOW_MS - now,
     );
-    const unknownMs = allKnownAt > now ? [allKnownAt - now] : [];
-    return Math.max(1, Math.min(leftMs, ...ends, ...unknownMs));
+    const allKnownMs = allKnownAt > now ? [allKnownAt - now] : [];
+    return Math.max(1, Math.min(remainingMs, ...expiries, ...allKnownMs));
   }
 }
--- a/src/directory/heartbeat-table.ts
+++ b/src/directory/heartbeat-table.ts
@@ -1,10 +1,10 @@
-/** When each back end was last heard, as this leader knows it; kept in memory only. */
+/** Time of each backend's last heartbeat, in the leader's memory. */
 import { monotonicMs } from '../common/index.js';
 
 export interface HeartbeatTableOptions {
-  /** A back end is silent after this time without a heartbeat, in milliseconds. */
+  /** A backend is silent after this time without a heartbeat, in milliseconds. */
   silentAfterMs: number;
-  /** A back end is taken out after this time without a heartbeat, in milliseconds. */
+  /** A backend is removed after this time without a heartbeat, in milliseconds. */
   removeAfterMs: number;
 }
 
@@ -17,7 +17,7 @@
     this.heardAt.set(id, monotonicMs());
   }
 
-  /** Those of some back ends that are silent; one that a new leader has not heard yet counts from its first look. */
+  /** Silent backends among `ids`; for one without a heartbeat yet, the time counts from the first check. */
   silentOf(ids: Iterable<string>): Set<string> {
     const now = monotonicMs();
     const { silentAfterMs } = this.options;
@@ -28,7 +28,7 @@
     return this.silenceMs(id, monotonicMs()) > this.options.removeAfterMs;
   }
 
-  /** Forgets back ends that are not registered any more. */
+  /** Drops the entries of backends that are no longer registered. */
   keepOnly(ids: { has(id: string): boolean }): void {
     for (const id of this.heardAt.keys()) if (!ids.has(id)) this.heardAt.delete(id);
   }
--- a/src/directory/incarnation.ts
+++ b/src/directory/incarnation.ts
@@ -1,29 +1,29 @@
 /**
- * One start of a back end. A back end may start again under its name: it then holds and knows nothing of before,
- * and its counts begin anew, so that nothing known of one start may be taken for another's.
+ * One run of a backend process. A restarted backend keeps its name but none of its state, and its sequence numbers
+ * begin again, so that the state of one incarnation must not be attributed to another.
  */
 export interface Incarnation {
-  /** What the back end goes by, in all its starts. */
+  /** Name of the backend, the same for all its incarnations. */
   name: string;
-  /** When it started, in milliseconds of its own time of day; absent where each start has a name of its own. */
+  /** Start time by the backend's own wall clock, in milliseconds; absent if each incarnation has its own name. */
   startedAt?: number;
 }
 
-/** An id that differs wherever name or start differ. */
+/** Id that is unique for each combination of name and start time. */
 export function incarnationId({ name, startedAt }: Incarnation): string {
   const escaped = encodeURIComponent(name);
   return startedAt === undefined ? escaped : `${escaped}@${startedAt}`;
 }
 
-/** Whether an id is one of a back end's starts. */
+/** Whether an id is of an incarnation of the named backend. */
 export function isIncarnationOf(id: string, name: string): boolean {
   const escaped = encodeURIComponent(name);
   return id === escaped || id.startsWith(`${escaped}@`);
 }
 
-/** Whether the first of two starts of one back end is the later one. */
+/** Whether the first of two incarnations of a backend is the later one. */
 export function isLaterIncarnation(first: Incarnation, second: Incarnation): boolean {
   if (first.startedAt === undefined) return false;
-  // Where one says when it started, one of the same name that doesn't is no start of it.
+  // An incarnation without a start time counts as earlier than one that has it.
   return second.startedAt === undefined || first.startedAt > second.startedAt;
 }
--- a/src/directory/index.ts
+++ b/src/directory/index.ts
@@ -1,4 +1,4 @@
-/** The directory: configuration, back ends and processes, replicated by the control processes. */
+/** The directory: configuration, backends and processes, replicated by the control processes. */
 export * from './backend-registration.js';
 export * from './directory-commands.js';
 export * from './incarnation.js';
--- a/src/directory/load-board.ts
+++ b/src/directory/load-board.ts
@@ -1,34 +1,34 @@
-/** Calls under way by gateway and back end, as gateways report them while they watch. */
+/** Calls in flight by gateway and backend, as reported in watch requests. */
 import { monotonicMs } from '../common/index.js';
 import { type LoadTotals, packSums } from './load-totals.js';
 import type { BackendLoad } from './messages.js';
 
-/** A report older than this says nothing any more, in milliseconds. */
-const REPORT_VALID_MS = 1_500;
-/** Old reports are looked for at most so often, in milliseconds: a fraction of their validity. */
+/** Time after which a report expires. */
+const REPORT_TTL_MS = 1_500;
+/** Minimum time between checks for expired reports. */
 const EXPIRY_INTERVAL_MS = 250;
 
-/** Packing the sums takes at most this share of the time, however many back ends are in use. */
-const PACKING_SHARE = 0.02;
-/** Packed sums are no older than this, in milliseconds: half of the time for which a question is held. */
-const LONGEST_VALID_MS = 100;
+/** Maximum fraction of time spent on packing the sums. */
+const MAX_PACKING_FRACTION = 0.02;
+/** Maximum age of packed sums: half of a long poll. */
+const MAX_SNAPSHOT_AGE_MS = 100;
 
 interface LoadReport {
   loads: readonly BackendLoad[];
   at: number;
 }
 
-/** The sums of some moment, packed. */
+/** Packed sums at one point in time. */
 interface Snapshot {
   sums: Uint8Array;
-  /** What the sums are made of. */
+  /** Reports that the sums include. */
   reports: ReadonlyMap<string, LoadReport>;
   /** Monotonic, in milliseconds. */
   validUntil: number;
 }
 
 /**
- * Keeps the sums of all reports, so that a report costs what it holds, and packs them once for all gateways that ask at
+ * Maintains the sums of all reports incrementally and shares one packed snapshot between gateways that request it at
  * about the same time.
  */
 export class LoadReportStore {
@@ -37,16 +37,16 @@
   private expiredAt = Number.NEGATIVE_INFINITY;
   private snapshot: Snapshot | undefined;
 
-  /** @param validMsAfter how long sums may be used that took so long to pack, in milliseconds */
-  constructor(private readonly validMsAfter = validityOf) {}
+  /** @param snapshotTtlMs lifetime of a snapshot, computed from the time that packing took, in milliseconds */
+  constructor(private readonly snapshotTtlMs = defaultSnapshotTtlMs) {}
 
   report(gateway: string, loads: readonly BackendLoad[]): void {
-    this.withdraw(gateway);
+    this.removeReport(gateway);
     this.reports.set(gateway, { loads, at: monotonicMs() });
     for (const { id, inFlight } of loads) this.add(id, inFlight);
   }
 
-  /** All calls by back end, a moment old at most, and the asker's part of them. */
+  /** Calls of all gateways by backend, and the part of them that `gateway` reported. */
   totalsFor(gateway: string): LoadTotals {
     const { sums, reports } = this.currentSnapshot();
     return { sums, own: reports.get(gateway)?.loads ?? [] };
@@ -65,8 +65,8 @@
     this.expire();
     const sums = packSums(this.sums);
     const packedAt = monotonicMs();
-    const validMs = this.validMsAfter(packedAt - startedAt);
-    this.snapshot = { sums, reports: new Map(this.reports), validUntil: packedAt + validMs };
+    const ttlMs = this.snapshotTtlMs(packedAt - startedAt);
+    this.snapshot = { sums, reports: new Map(this.reports), validUntil: packedAt + ttlMs };
     return this.snapshot;
   }
 
@@ -75,11 +75,11 @@
     if (now - this.expiredAt < EXPIRY_INTERVAL_MS) return;
     this.expiredAt = now;
     for (const [gateway, { at }] of this.reports) {
-      if (now - at > REPORT_VALID_MS) this.withdraw(gateway);
+      if (now - at > REPORT_TTL_MS) this.removeReport(gateway);
     }
   }
 
-  private withdraw(gateway: string): void {
+  private removeReport(gateway: string): void {
     for (const { id, inFlight } of this.reports.get(gateway)?.loads ?? []) this.add(id, -inFlight);
     this.reports.delete(gateway);
   }
@@ -91,6 +91,6 @@
   }
 }
 
-function validityOf(packingMs: number): number {
-  return Math.min(LONGEST_VALID_MS, packingMs / PACKING_SHARE);
+function defaultSnapshotTtlMs(packingMs: number): number {
+  return Math.min(MAX_SNAPSHOT_AGE_MS, packingMs / MAX_PACKING_FRACTION);
 }
--- a/src/directory/load-totals.ts
+++ b/src/directory/load-totals.ts
@@ -1,16 +1,16 @@
-/** Calls under way at back ends, as a gateway is told of those of the others. */
+/** Calls in flight at the backends, as sent to gateways. */
 import type { BackendLoad } from './messages.js';
 import { packJson, unpackJson } from './packed-json.js';
 
-/** What a gateway gets: the sums are the same for all, so that they are packed once and not for each. */
+/** Sums over all gateways, packed once for all of them, with the receiving gateway's own part. */
 export interface LoadTotals {
   /** Packed `LoadSums` of all gateways. */
   sums: Uint8Array;
-  /** The asker's part of them. */
+  /** The receiving gateway's part of the sums. */
   own: readonly BackendLoad[];
 }
 
-/** Back ends and their calls, each at the same place. */
+/** Backend ids and their calls in flight, as parallel lists. */
 interface LoadSums {
   ids: string[];
   inFlight: number[];
@@ -21,12 +21,12 @@
   return packJson(loads);
 }
 
-/** Calls of the other gateways; back ends without any are left out. */
+/** Calls in flight of the other gateways; backends without any are omitted. */
 export function loadsOfOtherGateways({ sums, own }: LoadTotals): BackendLoad[] {
   const ownCalls = new Map<string, number>();
   for (const { id, inFlight } of own) ownCalls.set(id, (ownCalls.get(id) ?? 0) + inFlight);
   const { ids, inFlight } = unpackJson<LoadSums>(sums);
   return ids
-    .map((id, place) => ({ id, inFlight: inFlight[place]! - (ownCalls.get(id) ?? 0) }))
+    .map((id, position) => ({ id, inFlight: inFlight[position]! - (ownCalls.get(id) ?? 0) }))
     .filter((load) => load.inFlight > 0);
 }
--- a/src/directory/messages.ts
+++ b/src/directory/messages.ts
@@ -1,4 +1,4 @@
-/** Messages between the directory's leader and the processes that follow it. */
+/** Messages between the directory group and its clients. */
 import type { LeaderAnswer, Member } from '../consensus/index.js';
 import { defineMethod } from '../wire/index.js';
 import type { BackendUpdate } from './backend-updates.js';
@@ -13,35 +13,35 @@
 
 export type NodeRole = 'gateway' | 'control' | 'journal';
 
-/** How a process presents itself to the directory's leader. */
+/** Announcement of a process to the directory's leader. */
 export interface NodeAnnouncement {
   name: string;
   role: NodeRole;
-  /** Identity of its data folder, for those that have one. */
+  /** Identity of the data folder, for processes that have one. */
   memberId?: string;
   /** `host:port` of its internal endpoint. */
   address: string;
   zone: string;
 }
 
-/** Calls under way from one gateway at one back end. */
+/** Calls in flight from one gateway at one backend. */
 export interface BackendLoad {
   id: string;
   inFlight: number;
 }
 
-/** Which parts of the view the sender holds. */
+/** Versions of the parts of the directory view that the sender holds. */
 export interface KnownVersions {
   /** Log index of the configuration; 0 for none. */
   configuration: number;
-  /** Log index of the last change among the back ends that are held; 0 for none. */
+  /** Log index of the last backend change that the sender holds; 0 for none. */
   backendsIndex: number;
-  /** Of the silent back ends. */
+  /** Version of the set of silent backends. */
   silence: SilenceVersion;
   cluster: string;
 }
 
-/** Of a process that starts. */
+/** Versions of a process that has just started. */
 export const INITIAL_KNOWN_VERSIONS: KnownVersions = {
   configuration: 0,
   backendsIndex: 0,
@@ -52,7 +52,7 @@
 export interface WatchRequest {
   node: NodeAnnouncement;
   known: KnownVersions;
-  /** Answer at once, for a process that starts. */
+  /** Respond immediately instead of long polling, for a process that has just started. */
   isUrgent: boolean;
   loads: BackendLoad[];
 }
@@ -67,38 +67,38 @@
 }
 
 export interface ConfigurationView {
-  /** Log index at which it came into force. */
+  /** Log index at which the configuration was applied. */
   index: number;
   /** Packed routes; see `PackedConfiguration`. */
   routes: Uint8Array;
 }
 
-/** What the sender holds of the parts that calls are forwarded by. */
+/** Versions that the sender holds of the parts that affect forwarding. */
 export interface CommittedUpdateRequest {
   /** Log index of the configuration; 0 for none. */
   configurationIndex: number;
-  /** Log index of the last change of back ends; 0 for none. */
+  /** Log index of the last backend change; 0 for none. */
   backendsIndex: number;
 }
 
-/** What one member has applied after what the sender holds; any member tells it, also one that lags. */
+/** Parts that a member has applied after the sender's versions; served by any member, even a lagging one. */
 export interface CommittedUpdate {
   configuration?: ConfigurationView;
   backends?: BackendUpdate;
 }
 
-/** The parts of the directory that are newer than what the watcher holds. */
+/** Parts of the directory that are newer than the watcher's versions. */
 export interface DirectoryView {
   configuration?: ConfigurationView;
   backends?: BackendUpdate;
-  /** Packed `SilenceChanges`. */
+  /** Packed `SilenceDelta`. */
   silence?: Uint8Array;
   cluster?: ClusterView;
-  /** Calls by back end, for gateways. */
+  /** Calls in flight by backend, for gateways. */
   loads?: LoadTotals;
   /**
-   * Time since a majority of the group last stood behind the leader that answers, in milliseconds: what it tells
-   * was in force then, and may have been overtaken by another leader since.
+   * Time since a quorum of the group last confirmed the responding leader, in milliseconds. The view was current
+   * then; another leader may have changed the state since.
    */
   confirmedAgeMs: number;
 }
@@ -113,7 +113,7 @@
   source?: string;
 }
 
-/** The start that leaves; without its time whichever start is registered under the name. */
+/** The incarnation that leaves; without a start time, all that are registered under the name. */
 export type RemoveBackendRequest = Incarnation;
 
 export type PutConfigurationRequest = PackedConfiguration;
--- a/src/directory/node-roster.ts
+++ b/src/directory/node-roster.ts
@@ -1,36 +1,36 @@
-/** The processes that have announced themselves to this leader lately; kept in memory only. */
+/** Processes that have announced themselves to this leader recently, kept in memory only. */
 import { monotonicMs } from '../common/index.js';
 import type { NodeAnnouncement, NodeRole } from './messages.js';
 
 interface RosterEntry {
   node: NodeAnnouncement;
-  heardAt: number;
+  announcedAt: number;
 }
 
-/** A process that has been silent for so long is no longer counted, in milliseconds. */
+/** Time without an announcement after which a process no longer counts as present. */
 const PRESENT_WINDOW_MS = 2_500;
-/** A process that has been silent for so long is forgotten, in milliseconds. */
-const FORGET_AFTER_MS = 30_000;
+/** Time without an announcement after which a process is removed from the roster. */
+const REMOVE_AFTER_MS = 30_000;
 
 export class NodeRoster {
   private readonly entries = new Map<string, RosterEntry>();
 
-  /** @returns whether the node is new or came back with another identity or address */
+  /** @returns whether the node is new or has changed its identity or address */
   note(node: NodeAnnouncement): boolean {
     const known = this.entries.get(node.name);
-    this.entries.set(node.name, { node, heardAt: monotonicMs() });
+    this.entries.set(node.name, { node, announcedAt: monotonicMs() });
     return known?.node.address !== node.address || known.node.memberId !== node.memberId;
   }
 
-  /** Nodes of a role heard within the present window. */
+  /** Nodes of a role that announced themselves within the present window. */
   present(role: NodeRole): NodeAnnouncement[] {
     const since = monotonicMs() - PRESENT_WINDOW_MS;
     return [...this.entries.values()]
-      .filter((entry) => entry.node.role === role && entry.heardAt >= since)
+      .filter((entry) => entry.node.role === role && entry.announcedAt >= since)
       .map((entry) => entry.node);
   }
 
-  /** All nodes of a role that are not forgotten yet. */
+  /** All nodes of a role in the roster. */
   known(role: NodeRole): NodeAnnouncement[] {
     return [...this.entries.values()]
       .filter((entry) => entry.node.role === role)
@@ -41,10 +41,10 @@
     return this.entries.get(name)?.node;
   }
 
-  /** @returns whether any node was forgotten */
-  forgetSilent(): boolean {
-    const before = monotonicMs() - FORGET_AFTER_MS;
-    const silent = [...this.entries].filter(([, entry]) => entry.heardAt < before);
+  /** @returns whether any node was removed */
+  removeSilent(): boolean {
+    const before = monotonicMs() - REMOVE_AFTER_MS;
+    const silent = [...this.entries].filter(([, entry]) => entry.announcedAt < before);
     for (const [name] of silent) this.entries.delete(name);
     return silent.length > 0;
   }
--- a/src/directory/notification-throttle.ts
+++ b/src/directory/notification-throttle.ts
@@ -1,31 +1,31 @@
-/** Tells of many changes in few messages: the first at once, those that follow closely together. */
+/** Limits the rate of notifications: the first change notifies at once, later ones are coalesced. */
 import { monotonicMs } from '../common/index.js';
 
 export class NotificationThrottle {
-  private toldAt = Number.NEGATIVE_INFINITY;
+  private notifiedAt = Number.NEGATIVE_INFINITY;
   private timer: NodeJS.Timeout | undefined;
 
   /**
-   * @param intervalMs shortest time between two tellings, in milliseconds
-   * @param notify called when what has been noted is to be told
+   * @param intervalMs minimum time between scheduled notifications, in milliseconds
+   * @param notify called for each notification
    */
   constructor(
     private readonly intervalMs: number,
     private readonly notify: () => void,
   ) {}
 
-  /** There is something to tell. */
+  /** Notifies now, or once the interval has passed. */
   schedule(): void {
     if (this.timer) return;
-    const waitMs = this.toldAt + this.intervalMs - monotonicMs();
+    const waitMs = this.notifiedAt + this.intervalMs - monotonicMs();
     if (waitMs <= 0) this.flush();
     else this.timer = setTimeout(() => this.flush(), waitMs);
   }
 
-  /** For what must not wait. */
+  /** Notifies immediately. */
   flush(): void {
     this.stop();
-    this.toldAt = monotonicMs();
+    this.notifiedAt = monotonicMs();
     this.notify();
   }
 
--- a/src/directory/packed-configuration.ts
+++ b/src/directory/packed-configuration.ts
@@ -1,22 +1,21 @@
 /**
- * A configuration as it is replicated, kept and sent to gateways: packed once, by the process that
- * takes the order. A configuration of thousands of routes takes a leader hundreds of milliseconds to
- * encode for all its gateways, but almost nothing to copy. JSON, because the engine reads it natively: a
- * gateway that has just started reads MessagePack with code that is not compiled yet.
+ * A configuration as it is replicated, stored and sent to gateways. It is packed once, by the process that
+ * receives it from the operator, so that the leader does not encode it for each gateway. It is JSON, because
+ * V8 parses JSON natively, while a process that has just started would decode MessagePack with cold code.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import type { RouteConfiguration } from '../routes/index.js';
 
 export interface PackedConfiguration {
-  /** Chosen by operators; the highest prevails. */
+  /** Chosen by operators; the highest generation wins. */
   generation: number;
-  /** The `RouteConfiguration`, in JSON, deflated. */
+  /** The `RouteConfiguration` as deflated JSON. */
   routes: Uint8Array;
-  /** What the operator sent, given back word for word when it is read; UTF-8, deflated. */
+  /** The operator's source text, returned unchanged when it is read; deflated UTF-8. */
   source: Uint8Array;
 }
 
-/** The fastest level: routes resemble each other, so it already shrinks them about tenfold. */
+/** The fastest level; it suffices because routes resemble each other. */
 const DEFLATE_LEVEL = 1;
 
 export function packConfiguration(
--- a/src/directory/registered-backends.ts
+++ b/src/directory/registered-backends.ts
@@ -1,11 +1,11 @@
 /**
- * Back ends by id, by name and by address. A fleet that registers at once looks each of its back ends up by all
- * three on every member: a search through all of them each time would take the square of their number.
+ * Registered backends with indexes by id, name and address. Each registration looks a backend up by backends three,
+ * which must not take time proportional to the number of backends.
  */
 import type { BackendRegistration } from './backend-registration.js';
 
 export class RegisteredBackends {
-  private readonly all = new Map<string, BackendRegistration>();
+  private readonly backends = new Map<string, BackendRegistration>();
   private readonly byName = new Map<string, Set<string>>();
   private readonly byAddress = new Map<string, Set<string>>();
 
@@ -13,45 +13,45 @@
     for (const backend of backends) this.set(backend);
   }
 
-  /** In the order in which they were registered first. */
+  /** In order of first registration. */
   get byId(): ReadonlyMap<string, BackendRegistration> {
-    return this.all;
+    return this.backends;
   }
 
   get(id: string): BackendRegistration | undefined {
-    return this.all.get(id);
+    return this.backends.get(id);
   }
 
-  /** Takes the place of what was registered under the id. */
+  /** Adds a backend, or replaces the one registered under its id. */
   set(backend: BackendRegistration): void {
-    const before = this.all.get(backend.id);
-    if (before) this.removeFromIndexes(before);
-    this.all.set(backend.id, backend);
+    const previous = this.backends.get(backend.id);
+    if (previous) this.removeFromIndexes(previous);
+    this.backends.set(backend.id, backend);
     addTo(this.byName, backend.name, backend.id);
     addTo(this.byAddress, backend.address, backend.id);
   }
 
   /** @returns whether it was registered */
   delete(id: string): boolean {
-    const before = this.all.get(id);
-    if (!before) return false;
-    this.removeFromIndexes(before);
-    return this.all.delete(id);
+    const previous = this.backends.get(id);
+    if (!previous) return false;
+    this.removeFromIndexes(previous);
+    return this.backends.delete(id);
   }
 
-  /** All starts of a back end, by id. */
+  /** All incarnations of a backend, ordered by id. */
   named(name: string): BackendRegistration[] {
     return this.listOf(this.byName.get(name));
   }
 
-  /** Those that have a name or an address, by id: every replica comes to the same order. */
+  /** Backends with a name or an address, ordered by id so that backends replicas process them in the same order. */
   havingNameOrAddress(name: string, address: string): BackendRegistration[] {
     const ids = new Set([...(this.byName.get(name) ?? []), ...(this.byAddress.get(address) ?? [])]);
     return this.listOf(ids);
   }
 
   private listOf(ids: ReadonlySet<string> | undefined): BackendRegistration[] {
-    return [...(ids ?? [])].sort().map((id) => this.all.get(id)!);
+    return [...(ids ?? [])].sort().map((id) => this.backends.get(id)!);
   }
 
   private removeFromIndexes({ id, name, address }: BackendRegistration): void {
--- a/src/directory/silent-backend-tracker.ts
+++ b/src/directory/silent-backend-tracker.ts
@@ -1,22 +1,22 @@
-/** Back ends whose heartbeats are missing, as one leader knows it, with a count of the changes. */
+/** Versioned set of the backends that miss heartbeats, as seen by one leader. */
 import { ChangeHistory } from './change-history.js';
 import { packJson } from './packed-json.js';
 
-/** Counts of different leaders say nothing of each other: their terms tell them apart. */
+/** Version of the set; counts of different leaders are not comparable, so it includes the leader's term. */
 export interface SilenceVersion {
-  /** Of the leader; 0 for none. */
+  /** Term of the leader; 0 for none. */
   term: number;
   count: number;
 }
 
-/** How the silent back ends of a later version differ from those of an earlier one. */
+/** Difference between the silent backends of two versions. */
 export interface SilenceDelta {
-  /** Count of the same leader that they follow on; absent where `silent` names all. */
+  /** Count of the same leader that the delta applies to; absent if `silent` is the whole set. */
   afterCount?: number;
   version: SilenceVersion;
-  /** Ids of those that have fallen silent. */
+  /** Ids of backends that became silent. */
   silent: string[];
-  /** Ids of those that are silent no more. */
+  /** Ids of backends that are no longer silent. */
   heard: string[];
 }
 
@@ -26,14 +26,14 @@
   private silent: ReadonlySet<string> = new Set();
   private count = 1;
   private readonly history = new ChangeHistory();
-  /** Packed `SilenceChanges` up to now, by the version that they follow on. */
+  /** Packed deltas to the current version, by the version that they apply to. */
   private readonly packed = new Map<string, Uint8Array>();
 
   get ids(): ReadonlySet<string> {
     return this.silent;
   }
 
-  /** @returns whether others are silent than before */
+  /** @returns whether the set has changed */
   update(silent: ReadonlySet<string>): boolean {
     const changed = [
       ...[...silent].filter((id) => !this.silent.has(id)),
@@ -47,7 +47,7 @@
     return true;
   }
 
-  /** Another term begins. */
+  /** Resets the set at the start of a term. */
   clear(): void {
     this.silent = new Set();
     this.count += 1;
@@ -55,20 +55,20 @@
     this.packed.clear();
   }
 
-  /** Whether one who holds a version lacks something; a deposed leader has nothing for those who heard a later one. */
+  /** Whether a watcher's version is outdated; false for versions of a later leader. */
   hasUpdateFor(held: SilenceVersion, term: number): boolean {
     return held.term < term || (held.term === term && held.count < this.count);
   }
 
-  /** Packed `SilenceChanges`. */
+  /** Packed `SilenceDelta`. */
   updateSince(held: SilenceVersion, term: number): Uint8Array {
     const key = held.term === term ? `${term}.${held.count}` : `${term}`;
-    const packed = this.packed.get(key) ?? packJson(this.changesAfter(held, term));
+    const packed = this.packed.get(key) ?? packJson(this.deltaAfter(held, term));
     this.packed.set(key, packed);
     return packed;
   }
 
-  private changesAfter(held: SilenceVersion, term: number): SilenceDelta {
+  private deltaAfter(held: SilenceVersion, term: number): SilenceDelta {
     const version = { term, count: this.count };
     const changed = held.term === term ? this.history.changedAfter(held.count) : undefined;
     if (!changed) return { version, silent: [...this.silent], heard: [] };
