--- a/src/directory/answer-turns.test.ts
+++ b/src/directory/answer-turns.test.ts
@@ -1,8 +1,6 @@
 /**
- * A control group on machines at a third of their speed changed its leader twice within 0.4 s, in a chain of
- * five changes and without any other fault: "stopped leading" came 0.5 and 0.9 s after a "configuration committed"
- * that 92 processes waited for. A change wakes the questions of all of them, and the leader answered them in one turn of
- * its event loop (90 of 90 here), during which no heartbeat goes out and no vote is answered.
+ * Guards against a leader that responds to all watchers in one turn of its event loop after a change, which delays
+ * heartbeats and votes and can cost it its leadership.
  */
 import { expect, it, onTestFinished } from 'vitest';
 import { CommittingDirectory } from '../../tests/support/committing-directory.js';
@@ -11,12 +9,12 @@
 import type { SilenceDelta } from './silent-backend-tracker.js';
 
 const WATCHERS = 90;
-const MOST_ANSWERS_A_TURN = 8;
+const MAX_RESPONSES_PER_TURN = 8;
 
-/** Counts what happens in each turn of the event loop. */
+/** Counts the events in each turn of the event loop. */
 class TurnCounter {
-  most = 0;
-  private inThisTurn = 0;
+  maximum = 0;
+  private currentTurn = 0;
   private isStopped = false;
 
   constructor() {
@@ -24,8 +22,8 @@
   }
 
   count(): void {
-    this.inThisTurn += 1;
-    this.most = Math.max(this.most, this.inThisTurn);
+    this.currentTurn += 1;
+    this.maximum = Math.max(this.maximum, this.currentTurn);
   }
 
   stop(): void {
@@ -33,12 +31,12 @@
   }
 
   private nextTurn(): void {
-    this.inThisTurn = 0;
+    this.currentTurn = 0;
     if (!this.isStopped) setImmediate(() => this.nextTurn());
   }
 }
 
-it('a change leaves the event loop free between the answers to those who follow', async () => {
+it('spreads the responses to watchers over several turns of the event loop', async () => {
   const directory = new CommittingDirectory();
   const watch = async (name: string, known: KnownVersions, isUrgent: boolean) =>
     directory.leader.watch({
@@ -58,13 +56,13 @@
 
   const turns = new TurnCounter();
   onTestFinished(() => turns.stop());
-  const answers = names.map(async (name) => {
+  const responses = names.map(async (name) => {
     const view = await watch(name, known, false);
     turns.count();
     return view;
   });
   void directory.put(1);
-  const views = await Promise.all(answers);
+  const views = await Promise.all(responses);
   expect(views.filter((view) => view.configuration !== undefined)).toHaveLength(WATCHERS);
-  expect(turns.most).toBeLessThanOrEqual(MOST_ANSWERS_A_TURN);
+  expect(turns.maximum).toBeLessThanOrEqual(MAX_RESPONSES_PER_TURN);
 });
--- a/src/directory/backend-updates.test.ts
+++ b/src/directory/backend-updates.test.ts
@@ -1,4 +1,4 @@
-/** What those who follow the directory hold of its back ends, whatever happens to the answers on their way. */
+/** The backends that watchers hold while responses are lost, delayed or reordered. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { sampleRegistration } from '../../tests/support/directory-samples.js';
@@ -17,38 +17,38 @@
 } from './silent-backend-tracker.js';
 
 const MEMBERS = 3;
-const FOLLOWERS = 2;
-/** So few that followers are often too far behind for changes. */
-const KEPT_CHANGES = 3;
+const WATCHERS = 2;
+/** So few that watchers often lag too far for a delta. */
+const RETAINED_CHANGES = 3;
 const NAMES = 5;
 const RUNS = 300;
-const MOST_STEPS = 400;
+const MAX_STEPS = 400;
 
 type Step =
   | { kind: 'commit'; command: DirectoryCommand }
   | { kind: 'apply'; member: number }
   | { kind: 'reinstall'; member: number }
-  | { kind: 'ask'; follower: number; member: number }
+  | { kind: 'ask'; watcher: number; member: number }
   | { kind: 'deliver'; which: number }
   | { kind: 'lose'; which: number };
 
-interface Answer {
-  follower: number;
-  news: BackendUpdate;
+interface PendingResponse {
+  watcher: number;
+  update: BackendUpdate;
 }
 
 function newMember(): DirectoryStateMachine {
-  return new DirectoryStateMachine(() => undefined, new ChangeHistory(KEPT_CHANGES));
+  return new DirectoryStateMachine(() => undefined, new ChangeHistory(RETAINED_CHANGES));
 }
 
-/** A replicated log that members apply at their own pace, and followers that ask any of them. */
+/** A replicated log that members apply at different speeds, and watchers that request updates from any of them. */
 class Directory {
   readonly log: DirectoryCommand[] = [];
   readonly members = Array.from({ length: MEMBERS }, newMember);
-  readonly followers = Array.from({ length: FOLLOWERS }, () => new BackendCache());
-  /** Answers that are still on their way. */
-  readonly open: Answer[] = [];
-  /** What the back ends were at each log index at which they changed, and at none. */
+  readonly watchers = Array.from({ length: WATCHERS }, () => new BackendCache());
+  /** Responses that have not been delivered yet. */
+  readonly pending: PendingResponse[] = [];
+  /** The backends at each log index at which they changed, and at index 0. */
   readonly states = new Map<number, string>([[0, textOf([])]]);
   private readonly applied = Array.from({ length: MEMBERS }, () => 0);
 
@@ -67,23 +67,23 @@
     this.members[member]!.apply(encodeValue(command), this.applied[member]!);
   }
 
-  /** A member that lags gets the first one's snapshot in place of the log. */
+  /** Installs the first member's snapshot on a lagging member. */
   reinstall(member: number): void {
     this.members[member]!.restore(Buffer.concat([...this.members[0]!.snapshot()]));
     this.applied[member] = this.log.length;
   }
 
-  ask(follower: number, member: number): void {
-    const { index } = this.followers[follower]!;
+  ask(watcher: number, member: number): void {
+    const { index } = this.watchers[watcher]!;
     const { backendsIndex, backendUpdates } = this.members[member]!;
     if (backendsIndex > index)
-      this.open.push({ follower, news: backendUpdates.updateSince(index) });
+      this.pending.push({ watcher, update: backendUpdates.updateSince(index) });
   }
 
-  deliver({ follower, news }: Answer): void {
-    const held = this.followers[follower]!;
+  deliver({ watcher, update }: PendingResponse): void {
+    const held = this.watchers[watcher]!;
     const before = held.index;
-    held.apply(news);
+    held.apply(update);
     expect(held.index).toBeGreaterThanOrEqual(before);
     expect(textOf(held.records())).toBe(this.states.get(held.index));
   }
@@ -92,14 +92,14 @@
     if (step.kind === 'commit') this.commit(step.command);
     else if (step.kind === 'apply') this.apply(step.member);
     else if (step.kind === 'reinstall') this.reinstall(step.member);
-    else if (step.kind === 'ask') this.ask(step.follower, step.member);
-    else this.takeOpen(step.which, step.kind === 'deliver');
+    else if (step.kind === 'ask') this.ask(step.watcher, step.member);
+    else this.takePending(step.which, step.kind === 'deliver');
   }
 
-  private takeOpen(which: number, arrives: boolean): void {
-    if (this.open.length === 0) return;
-    const [answer] = this.open.splice(which % this.open.length, 1);
-    if (arrives) this.deliver(answer!);
+  private takePending(which: number, isDelivered: boolean): void {
+    if (this.pending.length === 0) return;
+    const [response] = this.pending.splice(which % this.pending.length, 1);
+    if (isDelivered) this.deliver(response!);
   }
 }
 
@@ -116,7 +116,7 @@
   phase: 'ready' | 'draining',
 ): BackendRegistration {
   const name = `i-${number}`;
-  // Two names share an address, so that one start takes another back end out.
+  // Two names share an address, so that one incarnation replaces another backend.
   const address = `127.0.0.1:${1 + (number % (NAMES - 1))}`;
   return sampleRegistration({ name, startedAt: start, address, phase, sequence: start });
 }
@@ -137,7 +137,7 @@
   })),
 );
 const member = fc.nat(MEMBERS - 1);
-const follower = fc.nat(FOLLOWERS - 1);
+const watcher = fc.nat(WATCHERS - 1);
 const step: fc.Arbitrary<Step> = fc.oneof(
   {
     weight: 4,
@@ -150,16 +150,16 @@
       .integer({ min: 1, max: MEMBERS - 1 })
       .map((drawn) => ({ kind: 'reinstall' as const, member: drawn })),
   },
-  { weight: 4, arbitrary: fc.record({ kind: fc.constant('ask' as const), follower, member }) },
+  { weight: 4, arbitrary: fc.record({ kind: fc.constant('ask' as const), watcher, member }) },
   { weight: 3, arbitrary: fc.nat(9).map((which) => ({ kind: 'deliver' as const, which })) },
   { weight: 1, arbitrary: fc.nat(9).map((which) => ({ kind: 'lose' as const, which })) },
 );
 
-/** A follower of leaders, one term after the other, that tell which back ends are silent. */
-class FollowedSilence {
-  private readonly board = new SilentBackendTracker();
+/** A watcher of the silent backends through a sequence of leaders. */
+class WatchedSilence {
+  private readonly tracker = new SilentBackendTracker();
   private readonly held = new BackendCache();
-  /** Which were silent at each version. */
+  /** Silent backends at each version. */
   private readonly states = new Map<string, string>();
   private term = 1;
 
@@ -173,17 +173,19 @@
 
   beginTerm(): void {
     this.term += 1;
-    this.board.clear();
+    this.tracker.clear();
   }
 
   update(silent: number[]): void {
     const registered = silent.filter((which) => which < NAMES - 1);
-    this.board.update(new Set(registered.map((which) => backendOf(which, 1, 'ready').id)));
+    this.tracker.update(new Set(registered.map((which) => backendOf(which, 1, 'ready').id)));
   }
 
   ask(): SilenceDelta | undefined {
-    if (!this.board.hasUpdateFor(this.held.silence, this.term)) return undefined;
-    const changes = unpackJson<SilenceDelta>(this.board.updateSince(this.held.silence, this.term));
+    if (!this.tracker.hasUpdateFor(this.held.silence, this.term)) return undefined;
+    const changes = unpackJson<SilenceDelta>(
+      this.tracker.updateSince(this.held.silence, this.term),
+    );
     this.states.set(keyOf(changes.version), this.leaderText());
     return changes;
   }
@@ -194,7 +196,7 @@
   }
 
   leaderText(): string {
-    return [...this.board.ids].sort().join(' ');
+    return [...this.tracker.ids].sort().join(' ');
   }
 
   heldText(): string {
@@ -210,18 +212,18 @@
   return `${term}.${count}`;
 }
 
-describe('a follower of the directory', () => {
-  it('holds the back ends of one log index, whoever answers, whatever is lost or late', () => {
+describe('a watcher of the directory', () => {
+  it('holds the backends of a single log index, whichever member responds and whatever is lost or late', () => {
     fc.assert(
-      fc.property(fc.array(step, { minLength: MOST_STEPS / 2, maxLength: MOST_STEPS }), (steps) => {
+      fc.property(fc.array(step, { minLength: MAX_STEPS / 2, maxLength: MAX_STEPS }), (steps) => {
         const directory = new Directory();
         for (const next of steps) directory.run(next);
-        // In the end all answers arrive, and each follower asks a leader that holds everything.
-        for (const answer of directory.open.splice(0)) directory.deliver(answer);
-        for (const which of directory.followers.keys()) directory.ask(which, 0);
-        for (const answer of directory.open.splice(0)) directory.deliver(answer);
+        // Finally all responses arrive, and each watcher requests an update from the leader.
+        for (const response of directory.pending.splice(0)) directory.deliver(response);
+        for (const which of directory.watchers.keys()) directory.ask(which, 0);
+        for (const response of directory.pending.splice(0)) directory.deliver(response);
         const [leader] = directory.members;
-        for (const held of directory.followers) {
+        for (const held of directory.watchers) {
           expect(held.index).toBe(leader!.backendsIndex);
           expect(textOf(held.records())).toBe(textOf([...leader!.backends.values()]));
         }
@@ -230,7 +232,7 @@
     );
   });
 
-  it('takes nothing of an earlier leader for what follows on a later one', () => {
+  it('does not apply silence deltas of an earlier leader to the state of a later one', () => {
     const earlier = new SilentBackendTracker();
     const later = new SilentBackendTracker();
     const held = new BackendCache();
@@ -239,7 +241,7 @@
       directory.commit({ kind: 'register-backend', registration: backendOf(name, 1, 'ready') });
     }
     directory.ask(0, 0);
-    held.apply(directory.open[0]!.news);
+    held.apply(directory.pending[0]!.update);
     const silentIds = (): string[] =>
       held
         .records()
@@ -250,35 +252,35 @@
     const ofEarlier = earlier.updateSince(held.silence, 1);
     held.applySilenceDelta(unpackJson(ofEarlier));
     expect(silentIds()).toEqual(['i-0@1']);
-    // The same count of another leader stands for something else.
+    // The same count of another leader is a different version.
     later.update(new Set(['i-1@1']));
     expect(later.hasUpdateFor(held.silence, 2)).toBe(true);
     held.applySilenceDelta(unpackJson(later.updateSince(held.silence, 2)));
     expect(silentIds()).toEqual(['i-1@1']);
-    // An answer of the deposed one comes late, and it has no more to tell.
+    // A late response of the deposed leader is ignored, and it has no further update.
     held.applySilenceDelta(unpackJson(ofEarlier));
     expect(silentIds()).toEqual(['i-1@1']);
     expect(earlier.hasUpdateFor(held.silence, 1)).toBe(false);
   });
 
-  it('holds the silent back ends of one version after changes, new terms, lost and late answers', () => {
+  it('holds the silent backends of a single version after changes, new terms, lost and late responses', () => {
     const update = fc.record({
       silent: fc.uniqueArray(number),
-      begins: fc.boolean(),
+      isNewTerm: fc.boolean(),
       fate: fc.constantFrom('arrives', 'lost', 'arrives late' as const),
       late: fc.nat(9),
     });
     fc.assert(
       fc.property(fc.array(update, { maxLength: 60 }), (updates) => {
-        const silence = new FollowedSilence();
-        const answers: SilenceDelta[] = [];
-        for (const { silent, begins, fate, late } of updates) {
-          if (begins) silence.beginTerm();
+        const silence = new WatchedSilence();
+        const delayed: SilenceDelta[] = [];
+        for (const { silent, isNewTerm, fate, late } of updates) {
+          if (isNewTerm) silence.beginTerm();
           silence.update(silent);
-          const answer = silence.ask();
-          if (answer && fate === 'arrives') silence.take(answer);
-          if (answer && fate === 'arrives late') answers.push(answer);
-          const overdue = answers[late];
+          const response = silence.ask();
+          if (response && fate === 'arrives') silence.take(response);
+          if (response && fate === 'arrives late') delayed.push(response);
+          const overdue = delayed[late];
           if (overdue) silence.take(overdue);
         }
         const last = silence.ask();
@@ -289,17 +291,17 @@
     );
   });
 
-  it('takes no changes that follow on something it does not hold', () => {
+  it('ignores a delta from a later index than its own', () => {
     const directory = new Directory();
     for (const which of [0, 1, 2]) {
       directory.commit({ kind: 'register-backend', registration: backendOf(which, 1, 'ready') });
     }
     const { backendUpdates } = directory.members[0]!;
-    directory.deliver({ follower: 0, news: backendUpdates.updateSince(1) });
-    expect(directory.followers[0]!.index).toBe(0);
+    directory.deliver({ watcher: 0, update: backendUpdates.updateSince(1) });
+    expect(directory.watchers[0]!.index).toBe(0);
   });
 
-  it('that starts gets a list that was packed for others, and what has changed since', () => {
+  it('that starts gets the cached list and a delta', () => {
     const directory = new Directory();
     directory.commit({ kind: 'register-backend', registration: backendOf(0, 1, 'ready') });
     const { backendUpdates } = directory.members[0]!;
@@ -309,11 +311,11 @@
     expect(first.pieces[0]).toBe(list);
     expect(first.pieces).toHaveLength(2);
     expect(second.pieces[1]).toBe(first.pieces[1]);
-    directory.deliver({ follower: 0, news: first });
-    expect(directory.followers[0]!.index).toBe(2);
+    directory.deliver({ watcher: 0, update: first });
+    expect(directory.watchers[0]!.index).toBe(2);
   });
 
-  it('shares packed changes with all that hold the same', () => {
+  it('shares packed deltas with other watchers at the same index', () => {
     const directory = new Directory();
     directory.commit({ kind: 'register-backend', registration: backendOf(0, 1, 'ready') });
     directory.commit({ kind: 'register-backend', registration: backendOf(1, 1, 'ready') });
--- a/src/directory/confirmed-acknowledgement.test.ts
+++ b/src/directory/confirmed-acknowledgement.test.ts
@@ -1,10 +1,6 @@
 /**
- * Symptom: a configuration was acknowledged, and seconds later a gateway in touch acted by the one before;
- * a back end that had been told its leaving was known still got calls.
- * Sequence: the group committed; one gateway's question for news was held up.
- * Cause: an acknowledgement meant that the group had committed, and said nothing of those who act by it.
- * What settled it: with a gateway that is known to the leader and holds the version before, an order was
- * acknowledged at once.
+ * Guards against acknowledging a change as soon as the group has committed it, while active gateways still use the
+ * previous configuration or send calls to a draining backend.
  */
 import { describe, expect, it } from 'vitest';
 import { CommittingDirectory } from '../../tests/support/committing-directory.js';
@@ -14,8 +10,8 @@
 import { type DirectoryView, INITIAL_KNOWN_VERSIONS } from './messages.js';
 import { unpackJson } from './packed-json.js';
 
-/** An order must be answered within this time whatever gateways do, in milliseconds. */
-const LONGEST_WAIT_MS = 1_300;
+/** Time limit for the response to an operator request, whatever gateways do. */
+const MAX_WAIT_MS = 1_300;
 const GATEWAY_DELAY_MS = 150;
 
 class Gateway {
@@ -27,8 +23,8 @@
     private readonly name: string,
   ) {}
 
-  /** Asks for news, says what was held when asking, and holds what came. */
-  async ask(): Promise<DirectoryView> {
+  /** Sends a watch request with the held versions and applies the response. */
+  async watch(): Promise<DirectoryView> {
     const view = await this.directory.leader.watch({
       node: { name: this.name, role: 'gateway', address: `${this.name}:1`, zone: 'z' },
       known: this.known,
@@ -47,35 +43,35 @@
   }
 }
 
-/** Whether an order is still without its answer after a while. */
-async function isOpen(order: Promise<void>): Promise<boolean> {
-  let open = true;
-  void order.then(() => (open = false));
+/** Whether a request is still without a response after a delay. */
+async function isPending(request: Promise<void>): Promise<boolean> {
+  let isOpen = true;
+  void request.then(() => (isOpen = false));
   await sleep(GATEWAY_DELAY_MS);
-  return open;
+  return isOpen;
 }
 
 describe('an acknowledgement', () => {
-  it('comes when the gateways in touch hold the configuration, or have been given time to', async () => {
+  it('waits until active gateways hold the configuration, or for a time limit', async () => {
     const directory = new CommittingDirectory();
     const gateways = ['g1', 'g2'].map((name) => new Gateway(directory, name));
-    for (const gateway of gateways) await gateway.ask();
+    for (const gateway of gateways) await gateway.watch();
 
-    const order = directory.put(1);
-    expect(await isOpen(order)).toBe(true);
-    for (const gateway of gateways) await gateway.ask();
-    expect(await isOpen(order)).toBe(true);
-    for (const gateway of gateways) await gateway.ask();
-    await order;
+    const request = directory.put(1);
+    expect(await isPending(request)).toBe(true);
+    for (const gateway of gateways) await gateway.watch();
+    expect(await isPending(request)).toBe(true);
+    for (const gateway of gateways) await gateway.watch();
+    await request;
 
     const drain = directory.leader.recordHeartbeat(sampleRegistration({ phase: 'draining' }));
-    expect(await isOpen(drain)).toBe(true);
-    for (const gateway of gateways) await gateway.ask();
-    for (const gateway of gateways) await gateway.ask();
+    expect(await isPending(drain)).toBe(true);
+    for (const gateway of gateways) await gateway.watch();
+    for (const gateway of gateways) await gateway.watch();
     await drain;
 
     const sentAt = performance.now();
     await directory.put(2);
-    expect(performance.now() - sentAt).toBeLessThan(LONGEST_WAIT_MS);
+    expect(performance.now() - sentAt).toBeLessThan(MAX_WAIT_MS);
   });
 });
--- a/src/directory/confirmed-age.test.ts
+++ b/src/directory/confirmed-age.test.ts
@@ -1,4 +1,4 @@
-/** How old what a watcher holds may be, where a leader answers that a majority may have left. */
+/** Age of a watcher's state when its leader may have lost its quorum. */
 import { expect, it } from 'vitest';
 import { CommittingDirectory } from '../../tests/support/committing-directory.js';
 import { waitUntil } from '../../tests/support/wait-until.js';
@@ -8,25 +8,25 @@
 import { DirectoryWatcher } from './directory-watcher.js';
 import { type DirectoryView, INITIAL_KNOWN_VERSIONS, type WatchRequest } from './messages.js';
 
-const LEFT_FOR_MS = 2_000;
+const QUORUM_LOST_MS = 2_000;
 const node = { name: 'gateway-1', role: 'gateway' as const, address: 'a:1', zone: 'z' };
 const request: WatchRequest = { node, known: INITIAL_KNOWN_VERSIONS, isUrgent: true, loads: [] };
 
-it('a leader says for how long no majority has answered it, standstills included', async () => {
+it('a leader reports the time since its last quorum contact, including stalls', async () => {
   const directory = new CommittingDirectory();
-  const leftAt = monotonicMs() - LEFT_FOR_MS;
-  Object.assign(directory.group, { quorumContactMs: () => leftAt });
+  const quorumLostAt = monotonicMs() - QUORUM_LOST_MS;
+  Object.assign(directory.group, { quorumContactMs: () => quorumLostAt });
   const { confirmedAgeMs } = await directory.leader.watch(request);
-  expect(confirmedAgeMs).toBeGreaterThanOrEqual(LEFT_FOR_MS);
-  expect(confirmedAgeMs).toBeLessThan(LEFT_FOR_MS + 500);
+  expect(confirmedAgeMs).toBeGreaterThanOrEqual(QUORUM_LOST_MS);
+  expect(confirmedAgeMs).toBeLessThan(QUORUM_LOST_MS + 500);
 });
 
-it('a watcher takes what such a leader tells for that much older than its answer', async () => {
-  const view: DirectoryView = { confirmedAgeMs: LEFT_FOR_MS };
-  let answers = 0;
+it('a watcher adds the reported age to the age of the response', async () => {
+  const view: DirectoryView = { confirmedAgeMs: QUORUM_LOST_MS };
+  let responses = 0;
   const client = {
     watch: () =>
-      new Promise((resolve) => setTimeout(() => resolve(view), 5)).finally(() => answers++),
+      new Promise((resolve) => setTimeout(() => resolve(view), 5)).finally(() => responses++),
   } as unknown as DirectoryClient;
   const watcher = new DirectoryWatcher({
     client,
@@ -35,8 +35,8 @@
   });
   expect(watcher.confirmedAgeMs).toBe(Infinity);
   watcher.start();
-  await waitUntil('answered', () => answers > 2, 2_000);
+  await waitUntil('enough responses', () => responses > 2, 2_000);
   watcher.stop();
-  expect(watcher.leaderContactAgeMs).toBeLessThan(LEFT_FOR_MS / 2);
-  expect(watcher.confirmedAgeMs).toBeGreaterThanOrEqual(LEFT_FOR_MS);
+  expect(watcher.leaderContactAgeMs).toBeLessThan(QUORUM_LOST_MS / 2);
+  expect(watcher.confirmedAgeMs).toBeGreaterThanOrEqual(QUORUM_LOST_MS);
 });
--- a/src/directory/directory-leader.test.ts
+++ b/src/directory/directory-leader.test.ts
@@ -1,4 +1,4 @@
-/** What the directory's leader answers, over a group that commits at once. */
+/** Responses of the directory's leader, with a group that commits immediately. */
 import { describe, expect, it } from 'vitest';
 import { CommittingDirectory } from '../../tests/support/committing-directory.js';
 import { sampleRegistration } from '../../tests/support/directory-samples.js';
@@ -14,9 +14,9 @@
 import { unpackJson } from './packed-json.js';
 import type { SilenceDelta } from './silent-backend-tracker.js';
 
-const HERD_SIZE = 200;
-const HERD_WINDOW_MS = 700;
-/** Longer than changes of the cluster are gathered, in milliseconds. */
+const NODE_COUNT = 200;
+const ANNOUNCEMENT_WINDOW_MS = 700;
+/** Longer than the delay for batching cluster changes, in milliseconds. */
 const SETTLE_MS = 300;
 
 function journalNode(number: number): NodeAnnouncement {
@@ -39,7 +39,7 @@
 }
 
 describe('the directory leader', () => {
-  it('commits a configuration once, however often it is sent, and none that was overtaken', async () => {
+  it('commits a configuration once, however often it is sent, and never an older generation', async () => {
     const committing = new CommittingDirectory();
     await committing.put(5);
     await committing.put(5);
@@ -50,7 +50,7 @@
     expect(committing.proposals).toHaveLength(2);
   });
 
-  it('sends configurations and back ends to gateways only', async () => {
+  it('sends configurations and backends to gateways only', async () => {
     const committing = new CommittingDirectory();
     await committing.put(5);
     const forGateway = await committing.leader.watch(watchOf('gateway'));
@@ -62,7 +62,7 @@
     expect(forJournal.backends).toBeUndefined();
   });
 
-  it('sends the one packed configuration that it keeps to every gateway', async () => {
+  it('sends the same packed configuration to every gateway', async () => {
     const committing = new CommittingDirectory();
     await committing.put(5);
     const first = await committing.leader.watch(watchOf('gateway'));
@@ -71,13 +71,13 @@
     expect(second.configuration!.routes).toBe(first.configuration!.routes);
   });
 
-  it('tells a watcher of many processes that announce themselves at once in few answers', async () => {
+  it('batches the announcements of many processes into few responses', async () => {
     const committing = new CommittingDirectory();
     let known = (await committing.leader.watch(watchOf('journal'))).cluster!.version;
-    let answers = 0;
-    const until = performance.now() + HERD_WINDOW_MS;
-    const herd = Array.from({ length: HERD_SIZE }, async (_, number) => {
-      await sleep((number * HERD_WINDOW_MS) / HERD_SIZE / 2);
+    let responses = 0;
+    const until = performance.now() + ANNOUNCEMENT_WINDOW_MS;
+    const announcements = Array.from({ length: NODE_COUNT }, async (_, number) => {
+      await sleep((number * ANNOUNCEMENT_WINDOW_MS) / NODE_COUNT / 2);
       const request = watchOf('journal');
       await committing.leader.watch({ ...request, node: journalNode(number) });
     });
@@ -88,19 +88,19 @@
         known: { ...request.known, cluster: known },
       });
       if (!view.cluster) continue;
-      answers += 1;
+      responses += 1;
       known = view.cluster.version;
     }
-    await Promise.all(herd);
+    await Promise.all(announcements);
     const last = await committing.leader.watch(watchOf('journal'));
-    expect(last.cluster!.ledgerAddresses.length).toBeGreaterThanOrEqual(HERD_SIZE);
-    expect(answers).toBeGreaterThan(0);
-    expect(answers).toBeLessThan(HERD_SIZE / 10);
+    expect(last.cluster!.ledgerAddresses.length).toBeGreaterThanOrEqual(NODE_COUNT);
+    expect(responses).toBeGreaterThan(0);
+    expect(responses).toBeLessThan(NODE_COUNT / 10);
   });
 
-  // Versions that only a leader counts carry its term. A leader that was deposed while a question waited answered by the
-  // term of the next one: the asker then took the next leader's versions for what it held, up to the same count.
-  it('tells nothing that only a leader knows once it leads no more', async () => {
+  // Such versions include the leader's term: a response of a deposed leader with the next leader's term would make the
+  // watcher skip updates of the next leader.
+  it('omits leader-only state once it is no longer the leader', async () => {
     const committing = new CommittingDirectory();
     const first = await committing.leader.watch(watchOf('gateway'));
     const known = {
@@ -116,7 +116,7 @@
     expect(view.cluster).toBeUndefined();
   });
 
-  it('does not send the cluster again because a back end or a configuration has changed', async () => {
+  it('does not resend the cluster view when a backend or a configuration changes', async () => {
     const committing = new CommittingDirectory();
     const { version } = (await committing.leader.watch(watchOf('gateway'))).cluster!;
     await sleep(SETTLE_MS);
--- a/src/directory/directory-state-machine.test.ts
+++ b/src/directory/directory-state-machine.test.ts
@@ -1,4 +1,4 @@
-/** The replicated directory: which commands change it, and what survives a snapshot. */
+/** Commands and snapshots of the replicated directory. */
 import { describe, expect, it } from 'vitest';
 import { emptyConfiguration, sampleRegistration } from '../../tests/support/directory-samples.js';
 import { encodeValue } from '../wire/index.js';
@@ -30,7 +30,7 @@
 }
 
 describe('configuration', () => {
-  it('lets the highest generation prevail, whatever comes later', () => {
+  it('keeps the highest generation, whatever order they arrive in', () => {
     const machine = new Machine();
     expect(machine.put(7, 'seven')).toBe(true);
     expect(machine.put(5, 'five')).toBe(false);
@@ -41,21 +41,21 @@
   });
 });
 
-describe('back ends', () => {
-  it('ignores messages that are older than what is known', () => {
+describe('backends', () => {
+  it('ignores outdated messages', () => {
     const machine = new Machine();
     machine.register({ sequence: 5, phase: 'draining' });
     expect(machine.register({ sequence: 4, phase: 'ready' })).toBe(false);
     expect(machine.state.backends.get('i-1')?.phase).toBe('draining');
   });
 
-  it('keeps a drain that was acknowledged', () => {
+  it('does not revert a drain', () => {
     const machine = new Machine();
     machine.register({ phase: 'draining', sequence: 2 });
     expect(machine.register({ phase: 'ready', sequence: 3 })).toBe(false);
   });
 
-  it('does not revive one that has left, however late its heartbeat comes', () => {
+  it('ignores late heartbeats of a backend that has left', () => {
     const machine = new Machine();
     machine.register({});
     machine.run({ kind: 'remove-backend', id: 'i-1', hasDeparted: true });
@@ -63,7 +63,7 @@
     expect(machine.state.backends.size).toBe(0);
   });
 
-  it('takes one back that had only fallen silent', () => {
+  it('registers a backend again that was removed for missing heartbeats', () => {
     const machine = new Machine();
     machine.register({});
     machine.run({ kind: 'remove-backend', id: 'i-1', hasDeparted: false });
@@ -71,9 +71,8 @@
     expect(machine.register({ sequence: 2 })).toBe(true);
   });
 
-  // A heartbeat that a cut had held up arrived after its sender had been taken out for its silence and another
-  // back end had registered at the address: the living one was forgotten for good.
-  it('takes none back whose address another one has', () => {
+  // A delayed heartbeat of a lost backend must not replace the running backend at its address.
+  it('does not register a lost backend again whose address is in use', () => {
     const machine = new Machine();
     machine.register({});
     machine.run({ kind: 'remove-backend', id: 'i-1', hasDeparted: false });
@@ -85,13 +84,13 @@
     expect([...machine.state.backends.keys()]).toEqual(['i-2']);
   });
 
-  it('remembers a departure of one it never knew', () => {
+  it('records the departure of an unknown backend', () => {
     const machine = new Machine();
     machine.run({ kind: 'remove-backend', id: 'i-1', hasDeparted: true });
     expect(machine.register({})).toBe(false);
   });
 
-  it('gives an address to the incarnation that came last', () => {
+  it('assigns an address to the latest incarnation', () => {
     const machine = new Machine();
     machine.register({});
     machine.register({ id: 'i-2', service: 'other' });
@@ -101,27 +100,27 @@
 });
 
 /**
- * Back ends may start again under their names, with counts that begin anew. Told apart by name alone, one that had said
- * that it leaves, had left, or had been replaced stayed out for good, and its first heartbeats counted as old ones.
+ * Guards against telling incarnations apart by name alone: a restarted backend would stay removed, and its first
+ * heartbeats would count as outdated.
  */
-describe('a back end that starts again under its name', () => {
+describe('a backend that restarts under its name', () => {
   const before = { startedAt: 1_000, sequence: 40 };
   const after = { startedAt: 2_000, sequence: 1 };
-  const starts = (machine: Machine): unknown[] =>
+  const incarnations = (machine: Machine): unknown[] =>
     [...machine.state.backends.values()].map(({ startedAt, phase }) => [startedAt, phase]);
 
-  it('counts anew, at its address and at another one', () => {
+  it('replaces its earlier incarnation, at the same address and at another one', () => {
     for (const address of ['127.0.0.1:1000', '127.0.0.1:2000']) {
       const machine = new Machine();
       machine.register(before);
       expect(machine.register({ ...after, address })).toBe(true);
-      expect(starts(machine)).toEqual([[2_000, 'ready']]);
+      expect(incarnations(machine)).toEqual([[2_000, 'ready']]);
     }
   });
 
   it.each([
     [
-      'after it had said that it leaves',
+      'after it was draining',
       (machine: Machine) => machine.register({ ...before, sequence: 41, phase: 'draining' }),
     ],
     [
@@ -130,28 +129,28 @@
         machine.run({ kind: 'remove-backend', id: 'i-1@1000', hasDeparted: true }),
     ],
     [
-      'after it was silent',
+      'after it missed heartbeats',
       (machine: Machine) =>
         machine.run({ kind: 'remove-backend', id: 'i-1@1000', hasDeparted: false }),
     ],
     [
-      'after another one had its address',
+      'after another one used its address',
       (machine: Machine) => machine.register({ name: 'i-2', startedAt: 1_500 }),
     ],
-  ])('takes calls again %s', (_, happens) => {
+  ])('registers again %s', (_, prepare) => {
     const machine = new Machine();
     machine.register(before);
-    happens(machine);
+    prepare(machine);
     expect(machine.register(after)).toBe(true);
-    expect(starts(machine)).toEqual([[2_000, 'ready']]);
+    expect(incarnations(machine)).toEqual([[2_000, 'ready']]);
   });
 
   it.each([
-    ['a heartbeat of the start before', { ...before, sequence: 99 }],
-    ['its leaving', { ...before, sequence: 99, phase: 'draining' as const }],
-    ['the same at the address before', { ...before, sequence: 99, address: '127.0.0.1:9' }],
-    ['an entry without a start', { sequence: 99 }],
-  ])('is not harmed by %s that comes late', (_, late) => {
+    ['a heartbeat of the earlier incarnation', { ...before, sequence: 99 }],
+    ['a drain of the earlier incarnation', { ...before, sequence: 99, phase: 'draining' as const }],
+    ['a heartbeat from the earlier address', { ...before, sequence: 99, address: '127.0.0.1:9' }],
+    ['a registration without a start time', { sequence: 99 }],
+  ])('is not affected when %s arrives late', (_, late) => {
     const machine = new Machine();
     machine.register(before);
     machine.register(after);
@@ -159,10 +158,10 @@
     copy.restore(Buffer.concat([...machine.state.snapshot()]));
     expect(copy.isChange(sampleRegistration(late))).toBe(false);
     expect(machine.register(late)).toBe(false);
-    expect(starts(machine)).toEqual([[2_000, 'ready']]);
+    expect(incarnations(machine)).toEqual([[2_000, 'ready']]);
   });
 
-  it('stays out when a start that was silent is heard of after a later one has left', () => {
+  it('stays removed when an earlier incarnation sends a heartbeat after a later one has left', () => {
     const machine = new Machine();
     machine.register(before);
     machine.run({ kind: 'remove-backend', id: 'i-1@1000', hasDeparted: false });
@@ -171,14 +170,14 @@
     expect(machine.register({ ...before, sequence: 99 })).toBe(false);
   });
 
-  it('is named by whoever leaves, with its start or without', () => {
+  it('is found by name with or without a start time', () => {
     const machine = new Machine();
     machine.register(after);
     expect(machine.state.idsOf({ name: 'i-1' })).toEqual(['i-1@2000']);
     expect(machine.state.idsOf({ name: 'i-1', startedAt: 1_000 })).toEqual(['i-1@1000']);
   });
 
-  it('has ids that no other name or start has', () => {
+  it('has an id that is unique for name and start time', () => {
     const all = [
       { name: 'a' },
       { name: 'a', startedAt: 1 },
@@ -190,7 +189,7 @@
   });
 });
 
-describe('founding and retirement', () => {
+describe('ledger bootstrap and retirement', () => {
   it('keeps the first founders', () => {
     const machine = new Machine();
     const founder = { id: 'a', name: 'a', address: 'a:1', role: 'voter' as const };
@@ -199,7 +198,7 @@
     expect(machine.state.ledgerFounders).toEqual([founder]);
   });
 
-  it('never goes back from a completed retirement', () => {
+  it('does not restart a completed retirement', () => {
     const machine = new Machine();
     machine.run({ kind: 'start-retirement', node: 'n' });
     machine.run({ kind: 'complete-retirement', node: 'n' });
@@ -209,7 +208,7 @@
 });
 
 describe('snapshot', () => {
-  it('holds everything', () => {
+  it('includes the whole state', () => {
     const machine = new Machine();
     machine.put(3, 'three');
     machine.register({});
--- a/src/directory/leader-changes.test.ts
+++ b/src/directory/leader-changes.test.ts
@@ -1,4 +1,4 @@
-/** A gateway's view of the back ends while leaders change, answers are lost and other members are asked. */
+/** A watcher's view of the backends while leaders change, responses are lost and other members are polled. */
 import { expect, it, onTestFinished } from 'vitest';
 import { sampleRegistration } from '../../tests/support/directory-samples.js';
 import { waitUntil } from '../../tests/support/wait-until.js';
@@ -16,8 +16,8 @@
 const NAMES = 20;
 const STEPS = 250;
 const STEP_MS = 4;
-const LEADER_CHANGE_SHARE = 0.04;
-const LOST_SHARE = 0.2;
+const LEADER_CHANGE_PROBABILITY = 0.04;
+const LOSS_PROBABILITY = 0.2;
 const SEEDS = [1, 2, 3, 4];
 
 class Member {
@@ -71,9 +71,9 @@
   }
 }
 
-/** Members that share a log; one leads, the others lag behind it. */
+/** Members that share a log: one leads, the others lag. */
 class Members {
-  /** All that the back ends ever were. */
+  /** All states that the backends have had. */
   readonly states = new Set([textOf([])]);
   leader: Member;
   private readonly log: Uint8Array[] = [];
@@ -81,8 +81,8 @@
   private term = 0;
 
   constructor(private readonly random: SeededRandom) {
-    const note = (member: Member): void => void this.states.add(textOf(member.backends));
-    this.all = Array.from({ length: MEMBERS }, () => new Member(this.log, note));
+    const recordState = (member: Member): void => void this.states.add(textOf(member.backends));
+    this.all = Array.from({ length: MEMBERS }, () => new Member(this.log, recordState));
     this.leader = this.all[0]!;
     this.changeLeader();
   }
@@ -98,7 +98,7 @@
   }
 
   async step(sequence: number): Promise<void> {
-    if (this.random.chance(LEADER_CHANGE_SHARE)) this.changeLeader();
+    if (this.random.chance(LEADER_CHANGE_PROBABILITY)) this.changeLeader();
     this.any().applyNext();
     const number = this.random.integer(1, NAMES);
     const name = `i-${number}`;
@@ -116,11 +116,11 @@
   return lines.sort().join('\n');
 }
 
-/** Every answer may be lost; members that don't lead are asked as well. */
+/** Client whose responses may be lost and that also reads from members that do not lead. */
 function clientOf(members: Members, random: SeededRandom): DirectoryClient {
-  const loseSome = <Answer>(answer: Answer): Answer => {
-    if (random.chance(LOST_SHARE)) throw new Error('the answer is lost');
-    return answer;
+  const loseSome = <Response>(response: Response): Response => {
+    if (random.chance(LOSS_PROBABILITY)) throw new Error('response lost');
+    return response;
   };
   const client = {
     watch: async (request: WatchRequest) => loseSome(await members.leader.directory.watch(request)),
@@ -130,27 +130,30 @@
   return client as unknown as DirectoryClient;
 }
 
-it.each(SEEDS)('is one that was, and comes to the last, with steps drawn by %d', async (seed) => {
-  const random = new SeededRandom(seed);
-  const members = new Members(random);
-  let held = '';
-  const unknown: string[] = [];
-  const watcher = new DirectoryWatcher({
-    client: clientOf(members, random),
-    announce: () => ({ name: 'gateway-1', role: 'gateway', address: 'g:1', zone: 'z' }),
-    logger: createLogger({}),
-    onBackends: (records) => {
-      held = textOf(records);
-      if (!members.states.has(held)) unknown.push(held);
-    },
-  });
-  watcher.start();
-  onTestFinished(() => watcher.stop());
-  for (let step = 1; step <= STEPS; step += 1) {
-    await members.step(step);
-    await sleep(STEP_MS);
-  }
-  members.changeLeader();
-  await waitUntil('the last state held', () => held === textOf(members.leader.backends));
-  expect(unknown).toEqual([]);
-});
+it.each(SEEDS)(
+  'holds only past states and converges on the last one, with seed %d',
+  async (seed) => {
+    const random = new SeededRandom(seed);
+    const members = new Members(random);
+    let held = '';
+    const unknown: string[] = [];
+    const watcher = new DirectoryWatcher({
+      client: clientOf(members, random),
+      announce: () => ({ name: 'gateway-1', role: 'gateway', address: 'g:1', zone: 'z' }),
+      logger: createLogger({}),
+      onBackends: (records) => {
+        held = textOf(records);
+        if (!members.states.has(held)) unknown.push(held);
+      },
+    });
+    watcher.start();
+    onTestFinished(() => watcher.stop());
+    for (let step = 1; step <= STEPS; step += 1) {
+      await members.step(step);
+      await sleep(STEP_MS);
+    }
+    members.changeLeader();
+    await waitUntil('the last state held', () => held === textOf(members.leader.backends));
+    expect(unknown).toEqual([]);
+  },
+);
--- a/src/directory/notification-throttle.test.ts
+++ b/src/directory/notification-throttle.test.ts
@@ -1,4 +1,4 @@
-/** How soon, and in how many answers, gateways are told of back ends; on simulated time. */
+/** Delay and number of the responses that publish backend changes, on simulated time. */
 import { afterEach, beforeEach, expect, it, vi } from 'vitest';
 import { CommittingDirectory } from '../../tests/support/committing-directory.js';
 import { sampleRegistration } from '../../tests/support/directory-samples.js';
@@ -8,10 +8,10 @@
 import { unpackJson } from './packed-json.js';
 
 const BACKENDS = 300;
-/** Between two back ends that register, in milliseconds. */
+/** Time between two registrations, in milliseconds. */
 const PAUSE_MS = 4;
-/** A gateway may be told each tenth of a second, and once at the beginning and the end. */
-const MOST_ANSWERS = (BACKENDS * PAUSE_MS) / 100 + 2;
+/** One response per 100 ms, plus one each at the beginning and the end. */
+const MAX_RESPONSES = (BACKENDS * PAUSE_MS) / 100 + 2;
 
 beforeEach(() => {
   vi.useFakeTimers({ toFake: ['setTimeout', 'clearTimeout', 'performance'] });
@@ -21,7 +21,7 @@
 });
 
 class Gateway {
-  answers = 0;
+  responses = 0;
   private readonly held = new BackendCache();
   private cluster = '';
 
@@ -31,12 +31,12 @@
     return this.held.records();
   }
 
-  /** Asks again and again, on links that take no time. */
-  async follow(): Promise<void> {
-    for (;;) await this.ask(false);
+  /** Sends watch requests continuously, over links without latency. */
+  async watchContinuously(): Promise<void> {
+    for (;;) await this.watch(false);
   }
 
-  async ask(isUrgent: boolean): Promise<void> {
+  async watch(isUrgent: boolean): Promise<void> {
     const { index: backendsIndex, silence } = this.held;
     const view = await this.directory.leader.watch({
       node: { name: 'gateway-1', role: 'gateway', address: 'g:1', zone: 'z' },
@@ -44,7 +44,7 @@
       isUrgent,
       loads: [],
     });
-    if (view.backends && view.backends.index > backendsIndex) this.answers += 1;
+    if (view.backends && view.backends.index > backendsIndex) this.responses += 1;
     if (view.backends) this.held.apply(view.backends);
     if (view.silence) this.held.applySilenceDelta(unpackJson(view.silence));
     this.cluster = view.cluster?.version ?? this.cluster;
@@ -55,15 +55,15 @@
   return sampleRegistration({ name: `i-${number}`, address: `127.0.0.1:${number + 1}` });
 }
 
-/** What is due now comes to its end; simulated time stands still. */
+/** Runs everything that is pending, without advancing simulated time. */
 async function settle(): Promise<void> {
   for (let turn = 0; turn < 20; turn += 1) await new Promise((resolve) => setImmediate(resolve));
 }
 
-it('a gateway is told of many back ends that register in few answers', async () => {
+it('many registrations are published in few responses', async () => {
   const directory = new CommittingDirectory();
   const gateway = new Gateway(directory);
-  void gateway.follow();
+  void gateway.watchContinuously();
   for (let number = 0; number < BACKENDS; number += 1) {
     await directory.leader.recordHeartbeat(backend(number));
     await vi.advanceTimersByTimeAsync(PAUSE_MS);
@@ -71,14 +71,14 @@
   await vi.advanceTimersByTimeAsync(1_000);
   await settle();
   expect(gateway.backends).toHaveLength(BACKENDS);
-  expect(gateway.answers).toBeLessThanOrEqual(MOST_ANSWERS);
+  expect(gateway.responses).toBeLessThanOrEqual(MAX_RESPONSES);
 });
 
-it('a gateway is told at once of a back end that leaves, whatever else was told just before', async () => {
+it('a drain is published at once, also right after other updates', async () => {
   const directory = new CommittingDirectory();
   const gateway = new Gateway(directory);
-  await gateway.ask(true);
-  void gateway.follow();
+  await gateway.watch(true);
+  void gateway.watchContinuously();
   for (const number of [0, 1]) {
     await directory.leader.recordHeartbeat(backend(number));
     await settle();
--- a/src/directory/packed-configuration.test.ts
+++ b/src/directory/packed-configuration.test.ts
@@ -29,7 +29,7 @@
 }
 
 describe('a packed configuration', () => {
-  it('gives back routes and source as they were', () => {
+  it('returns routes and source unchanged', () => {
     const configuration = configurationWith(3);
     const packed = packConfiguration(configuration, '{"any": "text", "größe": 1}');
     expect(packed.generation).toBe(7);
@@ -37,7 +37,7 @@
     expect(unpackSource(packed)).toBe('{"any": "text", "größe": 1}');
   });
 
-  it('is far smaller than thousands of routes', () => {
+  it('compresses thousands of routes by a factor of ten', () => {
     const configuration = configurationWith(2_000);
     const { routes } = packConfiguration(configuration, '');
     expect(routes.length).toBeLessThan(JSON.stringify(configuration).length / 10);
--- a/src/directory/registered-backends.test.ts
+++ b/src/directory/registered-backends.test.ts
@@ -27,22 +27,22 @@
   return left.id < right.id ? -1 : 1;
 }
 
-it('finds by name and by address what a search through all back ends finds', () => {
+it('finds the same backends by name and address as a linear search', () => {
   fc.assert(
     fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
       const registered = new RegisteredBackends();
-      const plain = new Map<string, BackendRegistration>();
+      const expected = new Map<string, BackendRegistration>();
       for (const { backend, isRemoval } of steps) {
-        if (isRemoval) expect(registered.delete(backend.id)).toBe(plain.delete(backend.id));
+        if (isRemoval) expect(registered.delete(backend.id)).toBe(expected.delete(backend.id));
         else registered.set(backend);
-        if (!isRemoval) plain.set(backend.id, backend);
+        if (!isRemoval) expected.set(backend.id, backend);
       }
-      expect([...registered.byId]).toEqual([...plain]);
+      expect([...registered.byId]).toEqual([...expected]);
       for (const name of NAMES) {
-        const named = [...plain.values()].filter((backend) => backend.name === name).sort(byId);
+        const named = [...expected.values()].filter((backend) => backend.name === name).sort(byId);
         expect(registered.named(name)).toEqual(named);
         for (const address of ADDRESSES) {
-          const either = [...plain.values()].filter(
+          const either = [...expected.values()].filter(
             (backend) => backend.name === name || backend.address === address,
           );
           expect(registered.havingNameOrAddress(name, address)).toEqual(either.sort(byId));
--- a/src/directory/silent-connections.test.ts
+++ b/src/directory/silent-connections.test.ts
@@ -1,10 +1,6 @@
 /**
- * A gateway acted by old knowledge for 2.9 s after the connection to the directory's leader had gone
- * silent without a reset. The connection became suspect after 0.45 s, but the one handshake that should
- * have replaced it met silence as well, and nothing tried again before the question's own end at 3.0 s;
- * a question that is open at a member is not asked there a second time, so other members, who all pointed
- * at that leader, were of no help. With new connections silent for 0.3 s the next configuration was held
- * after 434 ms, for 0.6 s after 2,945 ms: a step, not a slope.
+ * Guards against a watcher that makes only one attempt to replace an unresponsive connection to the leader and then
+ * waits for the timeout of its request.
  */
 import { describe, expect, it, onTestFinished } from 'vitest';
 import { CommittingDirectory } from '../../tests/support/committing-directory.js';
@@ -19,8 +15,8 @@
 const SECRET = 'a-secret-of-the-test';
 const HOST = '127.0.0.1';
 /**
- * From when new connections work again until the news is held: 450 ms until the silence counts where
- * that has not passed yet, 400 ms until the next try, 150 ms until the question goes out again.
+ * Maximum time from working connections to an applied update: 450 ms to detect the unresponsive connection, 400 ms
+ * until the next connection attempt, 150 ms until the request is sent again.
  */
 const RECOVERY_MS = 1_000;
 const SILENCES_MS = [0, 300, 600, 900, 1_500];
@@ -31,14 +27,14 @@
   return server.port;
 }
 
-/** A member that only knows who leads. */
-function pointTo(leaderAddress: string): MethodRouter {
+/** A member that redirects requests to the leader. */
+function redirectTo(leaderAddress: string): MethodRouter {
   const router = new MethodRouter();
   router.handle(WATCH, () => ({ leaderAddress, refusal: 'not the leader' }));
   return router;
 }
 
-/** A watcher, a leader behind a relay, and two members that point at it. */
+/** A watcher, a leader behind a relay, and two members that redirect to it. */
 class WatchedDirectory {
   private constructor(
     readonly directory: CommittingDirectory,
@@ -51,7 +47,10 @@
     const relay = await SilencingRelay.start(await serve(router));
     const directory = new CommittingDirectory();
     registerDirectoryService(router, directory.leader, () => directory.group);
-    const followers = [await serve(pointTo(relay.address)), await serve(pointTo(relay.address))];
+    const followers = [
+      await serve(redirectTo(relay.address)),
+      await serve(redirectTo(relay.address)),
+    ];
     const addresses = [...followers.map((port) => `${HOST}:${port}`), relay.address];
     return new WatchedDirectory(directory, relay, watchDirectory(addresses, SECRET));
   }
@@ -61,8 +60,8 @@
   }
 }
 
-/** How long a watcher acts by old knowledge after its connections went silent, in milliseconds. */
-async function blindMs(
+/** Time from the start of the silence until the watcher applies a change, in milliseconds. */
+async function staleMs(
   watched: WatchedDirectory,
   silentMs: number,
   change: () => Promise<void>,
@@ -75,38 +74,38 @@
   return performance.now() - silentSince;
 }
 
-async function blindToConfigurationMs(silentMs: number): Promise<number> {
+async function configurationStaleMs(silentMs: number): Promise<number> {
   const watched = await WatchedDirectory.start();
   await watched.directory.put(1);
   await waitUntil('first configuration held', () => watched.held.generation === 1);
   const change = (): Promise<void> => watched.directory.put(2);
-  return blindMs(watched, silentMs, change, () => watched.held.generation === 2);
+  return staleMs(watched, silentMs, change, () => watched.held.generation === 2);
 }
 
-async function blindToDrainMs(silentMs: number): Promise<number> {
+async function drainStaleMs(silentMs: number): Promise<number> {
   const watched = await WatchedDirectory.start();
   const { leader } = watched.directory;
   await leader.recordHeartbeat(sampleRegistration());
-  await waitUntil('back end known', () => watched.held.backends.length === 1);
+  await waitUntil('backend known', () => watched.held.backends.length === 1);
   const draining = sampleRegistration({ phase: 'draining', sequence: 2 });
   const change = (): Promise<void> => leader.recordHeartbeat(draining);
-  return blindMs(watched, silentMs, change, () => watched.isDraining());
+  return staleMs(watched, silentMs, change, () => watched.isDraining());
 }
 
-/** The time beyond the silence of new connections, for each silence. */
-async function recoveriesMs(blind: (silentMs: number) => Promise<number>): Promise<number[]> {
-  const blindTimes = await Promise.all(SILENCES_MS.map(blind));
-  return blindTimes.map((time, index) => Math.round(time - SILENCES_MS[index]!));
+/** Recovery time after each length of silence. */
+async function recoveriesMs(measure: (silentMs: number) => Promise<number>): Promise<number[]> {
+  const staleTimes = await Promise.all(SILENCES_MS.map(measure));
+  return staleTimes.map((time, index) => Math.round(time - SILENCES_MS[index]!));
 }
 
-describe('a watcher whose connections to the leader go silent for good', () => {
-  it('holds the next configuration soon after new connections work', async () => {
-    const recoveries = await recoveriesMs(blindToConfigurationMs);
+describe('a watcher whose connections to the leader become unresponsive', () => {
+  it('applies the next configuration soon after new connections work', async () => {
+    const recoveries = await recoveriesMs(configurationStaleMs);
     expect(Math.max(...recoveries), `after ${recoveries.join()} ms`).toBeLessThan(RECOVERY_MS);
   });
 
-  it('obeys a drain soon after new connections work', async () => {
-    const recoveries = await recoveriesMs(blindToDrainMs);
+  it('applies a drain soon after new connections work', async () => {
+    const recoveries = await recoveriesMs(drainStaleMs);
     expect(Math.max(...recoveries), `after ${recoveries.join()} ms`).toBeLessThan(RECOVERY_MS);
   });
 });
--- a/src/directory/silent-leader.test.ts
+++ b/src/directory/silent-leader.test.ts
@@ -1,9 +1,6 @@
 /**
- * A back end had said that it leaves, and the control group had acknowledged it; 2.7 s later a gateway
- * that answered other calls within 25 to 92 ms still sent a call there. News of the directory came from
- * its leader alone: while that is silent or behind, the other members, which hold the very entry, only
- * pointed at it. With a leader whose bytes don't arrive, beside two members that have applied the drain and
- * the next configuration, a gateway held neither after 10 s.
+ * Guards against watchers that depend on the leader alone: while it is unresponsive, a committed drain or
+ * configuration must reach them through another member.
  */
 import { expect, it, onTestFinished } from 'vitest';
 import { CommittingDirectory } from '../../tests/support/committing-directory.js';
@@ -17,8 +14,8 @@
 const SECRET = 'a-secret-of-the-test';
 const HOST = '127.0.0.1';
 /** Longer than the test takes, in milliseconds. */
-const NEVER_MS = 30_000;
-/** A fraction of the 2 s within which gateways have to obey an acknowledged drain, in milliseconds. */
+const ENDLESS_DELAY_MS = 30_000;
+/** Well below the 2 s within which gateways must apply an acknowledged drain. */
 const HELD_WITHIN_MS = 1_200;
 
 async function serve(directory: CommittingDirectory): Promise<number> {
@@ -29,7 +26,7 @@
   return server.port;
 }
 
-it('a gateway learns from any member what was committed while the leader is silent', async () => {
+it('a gateway gets committed updates from other members while the leader is unresponsive', async () => {
   let leaderAddress = '';
   const followers = [1, 2].map(
     () => new CommittingDirectory({ leaderAddress: () => leaderAddress }),
@@ -43,9 +40,9 @@
 
   await directory.put(1);
   await directory.leader.recordHeartbeat(sampleRegistration());
-  await waitUntil('first news held', () => held.generation === 1 && held.backends.length === 1);
+  await waitUntil('first update held', () => held.generation === 1 && held.backends.length === 1);
 
-  relay.delayMs = NEVER_MS;
+  relay.delayMs = ENDLESS_DELAY_MS;
   void directory.put(2);
   void directory.leader.recordHeartbeat(sampleRegistration({ phase: 'draining', sequence: 2 }));
   const phase = (): string | undefined => held.backends[0]?.phase;
--- a/src/directory/silent-members.test.ts
+++ b/src/directory/silent-members.test.ts
@@ -1,7 +1,6 @@
 /**
- * A gateway whose leader is silent asks the other members for news. It chose them by a count that its questions for
- * the leader advance as well, so that one silent member could be asked several times running: with the leader and one of two
- * others silent, news were held after 4.9 s at worst, and after more than 2 s in 6 and 8 of 60 tries.
+ * Guards against polling the same unresponsive member several times in a row: the rotation of polled members must
+ * not be advanced by requests for the leader.
  */
 import { expect, it, onTestFinished } from 'vitest';
 import { sleep } from '../common/index.js';
@@ -14,14 +13,14 @@
 import { COMMITTED_UPDATE, WATCH } from './messages.js';
 import { packJson } from './packed-json.js';
 
-const TRIES = 40;
-/** Tries begin at different moments of a watcher's questions, this far apart, in milliseconds. */
+const RUNS = 40;
+/** Offset between the start times of the runs relative to a watcher's requests. */
 const PHASE_MS = 11;
-/** Within which gateways have to obey an acknowledged drain, in milliseconds. */
+/** Time limit within which gateways must apply an acknowledged drain. */
 const HELD_WITHIN_MS = 2_000;
-const LEADER_HOLDS_MS = 200;
+const LONG_POLL_MS = 200;
 
-/** Three members: the leader and one other can fall silent, the third holds the news. */
+/** Three members: the leader and one other can become unresponsive, the third has an update. */
 class Members implements PeerCaller {
   isSilent = false;
 
@@ -35,7 +34,7 @@
     _request: Request,
     options: CallOptions,
   ): Promise<Response> {
-    if (address !== 'holder') await this.speak(options);
+    if (address !== 'holder') await this.failIfSilent(options);
     if (method.name === COMMITTED_UPDATE.name) {
       const list: BackendDelta = { index: 50, changed: [], gone: [] };
       return { backends: { index: 50, pieces: [packJson(list)] } } as Response;
@@ -43,15 +42,15 @@
     if (method.name !== WATCH.name || address !== 'leader') {
       return { leaderAddress: 'leader', refusal: 'not the leader' } as Response;
     }
-    await sleep(LEADER_HOLDS_MS);
-    await this.speak(options);
+    await sleep(LONG_POLL_MS);
+    await this.failIfSilent(options);
     return { answer: {} } as Response;
   }
 
-  private async speak({ timeoutMs }: CallOptions): Promise<void> {
+  private async failIfSilent({ timeoutMs }: CallOptions): Promise<void> {
     if (!this.isSilent) return;
     await sleep(timeoutMs);
-    throw new Error('no answer in time');
+    throw new Error('request timed out');
   }
 }
 
@@ -74,8 +73,8 @@
   return heldAt - silentAt;
 }
 
-it('a gateway hears of a change beside a silent leader and one silent member of two', async () => {
-  const tries = Array.from({ length: TRIES }, (_, index) => heldAfterMs(index * PHASE_MS));
-  const late = (await Promise.all(tries)).filter((heldMs) => heldMs > HELD_WITHIN_MS);
+it('a gateway gets an update while the leader and one of two other members are unresponsive', async () => {
+  const runs = Array.from({ length: RUNS }, (_, index) => heldAfterMs(index * PHASE_MS));
+  const late = (await Promise.all(runs)).filter((heldMs) => heldMs > HELD_WITHIN_MS);
   expect(late).toEqual([]);
 });
--- a/src/directory/update-size.test.ts
+++ b/src/directory/update-size.test.ts
@@ -1,9 +1,4 @@
-/**
- * With 3,000 back ends the directory's leader changed 36 times in the minute after they had begun to register, and two in three
- * heartbeats got no answer. A profile showed more than half of the processors' time in the encoding of lists of back ends: each
- * change brought each gateway the whole list, so that the work of a change grew with the fleet on both sides.
- * 20 changes brought one gateway 196 kB beside 100 back ends and 1,996 kB beside 1,000.
- */
+/** Guards against updates that grow with the number of backends: each change must be sent as a delta. */
 import { expect, it, onTestFinished } from 'vitest';
 import { CommittingDirectory } from '../../tests/support/committing-directory.js';
 import { sampleRegistration } from '../../tests/support/directory-samples.js';
@@ -19,14 +14,14 @@
 const SECRET = 'a-secret-of-the-test';
 const HOST = '127.0.0.1';
 const CHANGES = 20;
-/** Ten times as many back ends may bring so much more: lengths of numbers, and a question more or less. */
-const MOST_GROWTH = 1.5;
+/** Allows for longer numbers and one request more or less. */
+const MAX_GROWTH = 1.5;
 
 function backend(number: number, sequence: number): ReturnType<typeof sampleRegistration> {
   return sampleRegistration({ name: `i-${number}`, address: `10.0.0.1:${number + 1}`, sequence });
 }
 
-/** Bytes that one gateway receives while some back ends change, one after the other. */
+/** Bytes that one gateway receives while backends change one after the other. */
 async function bytesOfChanges(backends: number): Promise<number> {
   const directory = new CommittingDirectory();
   const router = new MethodRouter();
@@ -53,7 +48,7 @@
   });
   watcher.start();
   onTestFinished(() => watcher.stop());
-  await waitUntil('all back ends held', () => held.length === backends);
+  await waitUntil('all backends held', () => held.length === backends);
 
   const before = peers.totalTraffic.received;
   for (let number = 0; number < CHANGES; number += 1) {
@@ -66,8 +61,8 @@
   return peers.totalTraffic.received - before;
 }
 
-it('a change brings a gateway as many bytes however many back ends there are', async () => {
+it('the size of an update does not grow with the number of backends', async () => {
   const few = await bytesOfChanges(100);
   const many = await bytesOfChanges(1_000);
-  expect(many).toBeLessThan(few * MOST_GROWTH);
+  expect(many).toBeLessThan(few * MAX_GROWTH);
 });
