--- a/src/clustering/admission-task.test.ts
+++ b/src/clustering/admission-task.test.ts
@@ -1,4 +1,4 @@
-/** How often a process presents itself to its group's leader. */
+/** Rate at which a process announces itself to its group's leader. */
 import { describe, expect, it } from 'vitest';
 import { LoopbackNetwork } from '../../tests/support/loopback-network.js';
 import { sleep } from '../common/index.js';
@@ -8,11 +8,11 @@
 import { REQUEST_ADMISSION } from './messages.js';
 
 const LEADER = 'leader';
-const WATCHED_MS = 1_000;
+const OBSERVATION_MS = 1_000;
 const MEMBER: Member = { id: 'm4-first', name: 'm4', address: 'm4', role: 'learner' };
 
-/** Presentations within a second of a process whose group has these members. */
-async function presentations(members: Member[]): Promise<number> {
+/** Admission requests that a process sends within a second, for a group with these members. */
+async function countRequests(members: Member[]): Promise<number> {
   const network = new LoopbackNetwork();
   const router = new MethodRouter();
   let received = 0;
@@ -25,19 +25,19 @@
   const group = { name: 'g', isLeader: false, configuration: { members } } as ReplicatedGroup;
   const stopping = new AbortController();
   const task = runAdmissionTask({ group, member: MEMBER, client, signal: stopping.signal });
-  await sleep(WATCHED_MS);
+  await sleep(OBSERVATION_MS);
   stopping.abort();
   await task;
   return received;
 }
 
 describe('a process', () => {
-  it('that is a member, voter or learner, shows once a second that it is there', async () => {
-    expect(await presentations([MEMBER])).toBeLessThanOrEqual(2);
-    expect(await presentations([{ ...MEMBER, role: 'voter' }])).toBeLessThanOrEqual(2);
+  it('that is a voter or a learner announces itself once a second', async () => {
+    expect(await countRequests([MEMBER])).toBeLessThanOrEqual(2);
+    expect(await countRequests([{ ...MEMBER, role: 'voter' }])).toBeLessThanOrEqual(2);
   });
 
-  it('that is no member yet asks again soon', async () => {
-    expect(await presentations([])).toBeGreaterThanOrEqual(4);
+  it('that is not a member yet retries at a shorter interval', async () => {
+    expect(await countRequests([])).toBeGreaterThanOrEqual(4);
   });
 });
--- a/src/clustering/admission-task.ts
+++ b/src/clustering/admission-task.ts
@@ -1,4 +1,4 @@
-/** A member's task: presents itself to its group's leader for as long as it runs. */
+/** A member's task that announces the member to the group's leader for as long as it runs. */
 import { sleep } from '../common/index.js';
 import {
   type GroupClient,
@@ -8,7 +8,7 @@
 } from '../consensus/index.js';
 import { REQUEST_ADMISSION } from './messages.js';
 
-/** A member only shows that it still runs under its name and address. */
+/** A member only confirms that it still runs under its name and address. */
 const MEMBER_INTERVAL_MS = 1_000;
 const CANDIDATE_INTERVAL_MS = 150;
 const ADMISSION_TIMEOUT_MS = 1_000;
@@ -42,6 +42,6 @@
       { timeoutMs: ADMISSION_TIMEOUT_MS },
     );
   } catch {
-    // No leader for now: asked again soon.
+    // No leader at the moment; retried after the interval.
   }
 }
--- a/src/clustering/index.ts
+++ b/src/clustering/index.ts
@@ -1,4 +1,4 @@
-/** How replicated groups are founded and how their members come, are replaced and go. */
+/** Membership changes of replicated groups: admission, replacement and removal of members. */
 export { runAdmissionTask, type AdmissionTaskOptions } from './admission-task.js';
 export * from './messages.js';
 export { VoterSetManager, type VoterSetManagerOptions } from './voter-set-manager.js';
--- a/src/clustering/messages.ts
+++ b/src/clustering/messages.ts
@@ -1,15 +1,15 @@
-/** Messages of processes that found a replicated group or ask to be taken into one. */
+/** Messages of processes that request admission to a replicated group. */
 import type { Member } from '../consensus/index.js';
 import { defineMethod } from '../wire/index.js';
 
-/** A member presents itself to the group's leader; repeated for as long as the member runs. */
+/** Announces a member to the group's leader; repeated for as long as the member runs. */
 export interface AdmissionRequest {
   group: string;
   member: Member;
 }
 
 export interface AdmissionResponse {
-  /** Whether the answering member leads the group; if not, nothing was noted. */
+  /** Whether the responding member leads the group; if not, the request had no effect. */
   leads: boolean;
   leaderAddress?: string;
 }
--- a/src/clustering/safe-removal.test.ts
+++ b/src/clustering/safe-removal.test.ts
@@ -1,4 +1,4 @@
-/** When a machine that is to be emptied counts as free. */
+/** When a retiring machine can be switched off. */
 import { expect, it, onTestFinished } from 'vitest';
 import { startCluster } from '../../tests/support/consensus-cluster.js';
 import { waitUntil } from '../../tests/support/wait-until.js';
@@ -6,23 +6,22 @@
 import { createLogger } from '../observability/index.js';
 import { VoterSetManager } from './voter-set-manager.js';
 
-/** Longer than a voter may be silent before it counts as unreachable, in milliseconds. */
-const SILENCE_MS = 1_500;
+/** Longer than the time without a response after which a voter is unreachable, in milliseconds. */
+const UNREACHABLE_MS = 1_500;
 
 /**
- * A machine is free once all voters hold the log, so that it may be switched off. What a voter has acknowledged counts
- * until the group commits more, also after it has lost its disk: while nothing is committed a group of three, of which one
- * holds nothing any more, lets another copy go.
+ * Guards against counting the log entries that a voter acknowledged before it lost its disk: switching off another
+ * machine could then leave too few copies.
  */
-it('is not free while a voter that has lost its disk is counted on', async () => {
+it('a machine is not safe to remove while a voter has lost its disk', async () => {
   const cluster = await startCluster();
   const leader = await cluster.waitLeader();
-  const keeper = new VoterSetManager(leader.group, {
+  const manager = new VoterSetManager(leader.group, {
     targetVoters: 3,
     isRetiring: (name) => name === 'emptied',
     logger: createLogger({ test: 'free-machine' }),
   });
-  onTestFinished(() => keeper.stop());
+  onTestFinished(() => manager.stop());
   const victim = cluster.members.find(({ group }) => !group.isLeader)!;
   const { group } = leader;
   await waitUntil('all hold the log', () =>
@@ -31,7 +30,7 @@
     ),
   );
   await cluster.loseDisk(await cluster.crash(victim.member.id));
-  await sleep(SILENCE_MS);
+  await sleep(UNREACHABLE_MS);
   expect(leader.group.isCurrentLeader).toBe(true);
-  expect(keeper.isSafeToRemove('emptied')).toBe(false);
+  expect(manager.isSafeToRemove('emptied')).toBe(false);
 });
--- a/src/clustering/voter-plan.test.ts
+++ b/src/clustering/voter-plan.test.ts
@@ -1,4 +1,4 @@
-/** Which change of members comes next, case by case. */
+/** The next membership change in each situation. */
 import { describe, expect, it } from 'vitest';
 import type { Member, MemberRole } from '../consensus/index.js';
 import { type VoterPlanInput, planMembershipStep } from './voter-plan.js';
@@ -24,12 +24,12 @@
 const THREE = [member('a'), member('b'), member('c')];
 
 describe('membership', () => {
-  it('stays as it is while all is well', () => {
+  it('stays unchanged while all voters are healthy', () => {
     expect(plan(THREE)).toBeUndefined();
     expect(plan([...THREE, member('d', 'learner')])).toBeUndefined();
   });
 
-  it('takes a process that presents itself in as a learner', () => {
+  it('admits a process that announces itself as a learner', () => {
     const candidates = [{ member: member('d') }];
     expect(plan(THREE, { candidates })).toEqual({
       kind: 'add-learner',
@@ -37,18 +37,18 @@
     });
   });
 
-  it('does not take in one that is to be emptied', () => {
+  it('does not admit a process on a retiring machine', () => {
     const candidates = [{ member: member('d') }];
     expect(plan(THREE, { candidates, isRetiring: (name) => name === 'd' })).toBeUndefined();
   });
 
-  it('makes a learner a voter where voters are missing, once it holds the log', () => {
+  it('promotes a learner that has caught up if voters are missing', () => {
     const members = [member('a'), member('b'), member('c', 'learner')];
     expect(plan(members, { isCaughtUp: () => false })).toBeUndefined();
     expect(plan(members)).toEqual({ kind: 'promote', member: member('c') });
   });
 
-  it('replaces a voter that does not answer: first the successor, then the removal', () => {
+  it('replaces an unreachable voter: promotes the successor, then removes the voter', () => {
     const isReachable = (id: string): boolean => id !== 'b-1';
     const members = [...THREE, member('d', 'learner')];
     expect(plan(members, { isReachable })).toEqual({ kind: 'promote', member: member('d') });
@@ -58,25 +58,25 @@
     });
   });
 
-  it('keeps a silent voter while nobody could take its place', () => {
+  it('keeps an unreachable voter while there is no successor', () => {
     expect(plan(THREE, { isReachable: (id) => id !== 'b-1' })).toBeUndefined();
   });
 
-  it('replaces a voter whose machine came back empty by its new identity', () => {
-    const fresh = member('b', 'learner', 'b-2');
-    const candidates = [{ member: fresh }];
-    expect(plan(THREE, { candidates })).toEqual({ kind: 'add-learner', member: fresh });
-    expect(plan([...THREE, fresh], { candidates })).toEqual({
+  it('replaces a voter that lost its disk by the new identity on its machine', () => {
+    const renewed = member('b', 'learner', 'b-2');
+    const candidates = [{ member: renewed }];
+    expect(plan(THREE, { candidates })).toEqual({ kind: 'add-learner', member: renewed });
+    expect(plan([...THREE, renewed], { candidates })).toEqual({
       kind: 'promote',
-      member: { ...fresh, role: 'voter' },
+      member: { ...renewed, role: 'voter' },
     });
-    expect(plan([...THREE, { ...fresh, role: 'voter' }], { candidates })).toEqual({
+    expect(plan([...THREE, { ...renewed, role: 'voter' }], { candidates })).toEqual({
       kind: 'remove',
       member: member('b'),
     });
   });
 
-  it('drops a learner that is lost, replaced or to be emptied', () => {
+  it('removes a learner that is lost, replaced or retiring', () => {
     const learner = member('d', 'learner');
     const members = [...THREE, learner];
     const removal = { kind: 'remove', member: learner };
@@ -86,14 +86,14 @@
     expect(plan(members, { candidates })).toEqual(removal);
   });
 
-  it('lets a retiring leader hand over before it is removed', () => {
+  it('transfers the leadership of a retiring leader before removing it', () => {
     const isRetiring = (name: string): boolean => name === 'a';
     const members = [...THREE, member('d', 'learner')];
     expect(plan(members, { isRetiring })).toEqual({ kind: 'promote', member: member('d') });
     expect(plan([...THREE, member('d')], { isRetiring })).toEqual({ kind: 'hand-over' });
   });
 
-  it('goes back to the wished number when a replaced voter turns up again', () => {
+  it('removes a surplus voter when a replaced one is reachable again', () => {
     const members = [...THREE, member('d')];
     expect(plan(members)).toEqual({ kind: 'remove', member: member('b') });
   });
--- a/src/clustering/voter-plan.ts
+++ b/src/clustering/voter-plan.ts
@@ -1,10 +1,10 @@
 /**
- * Decides the next change of a group's members: as many voters as are wished, none of them lost or
- * leaving while another member could take its place. Pure, so that every case can be tested.
+ * Plans the next membership change of a group. The goal is the target number of voters, with lost or retiring
+ * voters replaced as soon as another member can take over. The functions are pure.
  */
 import { type GroupConfiguration, type Member, votersOf } from '../consensus/index.js';
 
-/** What the leader knows of a process that presented itself lately. */
+/** A process that announced itself recently. */
 export interface Candidate {
   member: Member;
 }
@@ -13,15 +13,15 @@
   configuration: GroupConfiguration;
   ownId: string;
   targetVoters: number;
-  /** Processes that presented themselves lately, also those that are members. */
+  /** Processes that announced themselves recently, including members. */
   candidates: readonly Candidate[];
-  /** Whether a member has answered lately. */
+  /** Whether a member has responded recently. */
   isReachable: (id: string) => boolean;
-  /** Whether a member has been silent for long. */
+  /** Whether a member has not responded for so long that it is removed. */
   isLost: (id: string) => boolean;
-  /** Whether a learner holds nearly the whole log. */
+  /** Whether a learner has replicated nearly the whole log. */
   isCaughtUp: (id: string) => boolean;
-  /** Whether a machine is to be emptied. */
+  /** Whether a machine is being retired. */
   isRetiring: (name: string) => boolean;
 }
 
@@ -31,12 +31,12 @@
   | { kind: 'remove'; member: Member }
   | { kind: 'hand-over' };
 
-/** The next step, or nothing while all is as wished. */
+/** The next step, or undefined if none is needed. */
 export function planMembershipStep(input: VoterPlanInput): MembershipStep | undefined {
   return planStaleLearner(input) ?? planAdmission(input) ?? planVoters(input);
 }
 
-/** A learner whose machine came back with another identity, or that left, only holds the log up. */
+/** Removes a learner that is lost, retiring, or replaced by another identity on its machine. */
 function planStaleLearner(input: VoterPlanInput): MembershipStep | undefined {
   const stale = input.configuration.members.find(
     (member) =>
@@ -48,36 +48,40 @@
 
 function planAdmission(input: VoterPlanInput): MembershipStep | undefined {
   const known = new Set(input.configuration.members.map((member) => member.id));
-  const fresh = input.candidates.find(
+  const newCandidate = input.candidates.find(
     ({ member }) => !known.has(member.id) && !input.isRetiring(member.name),
   );
-  return fresh && { kind: 'add-learner', member: { ...fresh.member, role: 'learner' } };
+  return (
+    newCandidate && { kind: 'add-learner', member: { ...newCandidate.member, role: 'learner' } }
+  );
 }
 
 function planVoters(input: VoterPlanInput): MembershipStep | undefined {
   const voters = votersOf(input.configuration);
-  const unfit = voters.find((voter) => isUnfit(input, voter));
+  const outgoing = voters.find((voter) => needsReplacement(input, voter));
   const successor = readyLearner(input);
-  if (unfit && successor && voters.length <= input.targetVoters) {
+  if (outgoing && successor && voters.length <= input.targetVoters) {
     return { kind: 'promote', member: { ...successor, role: 'voter' } };
   }
-  if (!unfit && voters.length < input.targetVoters && successor) {
+  if (!outgoing && voters.length < input.targetVoters && successor) {
     return { kind: 'promote', member: { ...successor, role: 'voter' } };
   }
   if (voters.length <= input.targetVoters) return undefined;
-  const leaving = unfit ?? voters.find((voter) => voter.id !== input.ownId);
-  if (!leaving) return undefined;
-  return leaving.id === input.ownId ? { kind: 'hand-over' } : { kind: 'remove', member: leaving };
+  const removable = outgoing ?? voters.find((voter) => voter.id !== input.ownId);
+  if (!removable) return undefined;
+  return removable.id === input.ownId
+    ? { kind: 'hand-over' }
+    : { kind: 'remove', member: removable };
 }
 
-function isUnfit(input: VoterPlanInput, voter: Member): boolean {
+function needsReplacement(input: VoterPlanInput, voter: Member): boolean {
   return (
     input.isRetiring(voter.name) ||
     (voter.id !== input.ownId && (isReplaced(input, voter) || !input.isReachable(voter.id)))
   );
 }
 
-/** Whether a process with another identity presented itself under the member's name or address. */
+/** Whether a process with another identity announced itself under the member's name or address. */
 function isReplaced(input: VoterPlanInput, member: Member): boolean {
   return input.candidates.some(
     (candidate) =>
--- a/src/clustering/voter-set-manager.ts
+++ b/src/clustering/voter-set-manager.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's task that keeps its group at the wished number of voters: takes in processes that
- * present themselves, and replaces members that are lost, came back empty, or are to leave.
+ * The leader's task that keeps its group at the target number of voters: it admits processes that announce
+ * themselves, and replaces members that are lost, have lost their disk, or are being retired.
  */
 import { describeError, monotonicMs } from '../common/index.js';
 import { type Member, type ReplicatedGroup, votersOf } from '../consensus/index.js';
@@ -9,18 +9,18 @@
 import { REQUEST_ADMISSION } from './messages.js';
 import { type MembershipStep, planMembershipStep } from './voter-plan.js';
 
-const KEEPER_INTERVAL_MS = 100;
-/** A candidate that has been silent for so long is forgotten, in milliseconds. */
-const CANDIDATE_VALID_MS = 2_500;
-/** A voter that has not answered for so long may be replaced, in milliseconds. */
+const CHECK_INTERVAL_MS = 100;
+/** Time without an announcement after which a candidate is dropped. */
+const CANDIDATE_TTL_MS = 2_500;
+/** Time without a response after which a voter may be replaced. */
 const UNREACHABLE_AFTER_MS = 1_200;
-/** A learner that has not answered for so long is dropped, in milliseconds. */
+/** Time without a response after which a learner is removed. */
 const LOST_AFTER_MS = 8_000;
-/** How many entries a learner may lack when it is made a voter. */
+/** Maximum number of entries that a learner may lag behind to be promoted. */
 const CAUGHT_UP_LAG = 64;
 /**
- * Or it may lack what came in so many of the latest intervals. Under load a learner that is up to date
- * lacks some hundred entries at any moment, and a lost voter would not be replaced by it.
+ * Alternatively, it may lag by the entries of this many intervals: under load even an up-to-date learner lags by
+ * more than `CAUGHT_UP_LAG`, and could otherwise not replace a lost voter.
  */
 const CAUGHT_UP_INTERVALS = 5;
 
@@ -30,15 +30,15 @@
   logger: Logger;
 }
 
-interface SeenCandidate {
+interface CandidateEntry {
   member: Member;
-  seenAt: number;
+  announcedAt: number;
 }
 
 export class VoterSetManager {
-  private readonly candidates = new Map<string, SeenCandidate>();
+  private readonly candidates = new Map<string, CandidateEntry>();
   private readonly timer: NodeJS.Timeout;
-  /** Last indexes of the log at the latest intervals, oldest first. */
+  /** Last log index at each of the latest intervals, oldest first. */
   private readonly lastIndexes: number[] = [];
   private isBusy = false;
 
@@ -46,7 +46,7 @@
     private readonly group: ReplicatedGroup,
     private readonly options: VoterSetManagerOptions,
   ) {
-    this.timer = setInterval(() => void this.keep(), KEEPER_INTERVAL_MS);
+    this.timer = setInterval(() => void this.reconcile(), CHECK_INTERVAL_MS);
   }
 
   registerHandler(router: MethodRouter): void {
@@ -54,25 +54,25 @@
       if (group !== this.group.name || !this.group.isLeader) {
         return { leads: false, leaderAddress: this.group.leaderAddress };
       }
-      this.noteCandidate(member);
+      this.recordCandidate(member);
       return { leads: true };
     });
   }
 
-  /** The latest to present itself under a name or address runs there; another identity is over. */
-  private noteCandidate(member: Member): void {
+  /** A candidate replaces others with its name or address: their identities are no longer in use. */
+  private recordCandidate(member: Member): void {
     for (const [id, { member: other }] of this.candidates) {
-      const isSamePlace = other.name === member.name || other.address === member.address;
-      if (isSamePlace && id !== member.id) this.candidates.delete(id);
+      const isSameNode = other.name === member.name || other.address === member.address;
+      if (isSameNode && id !== member.id) this.candidates.delete(id);
     }
-    this.candidates.set(member.id, { member, seenAt: monotonicMs() });
+    this.candidates.set(member.id, { member, announcedAt: monotonicMs() });
   }
 
   stop(): void {
     clearInterval(this.timer);
   }
 
-  /** Whether the group neither needs nor holds a machine any more, and all voters hold the log. */
+  /** Whether the group has no member on the machine, has enough voters, and all of them hold the committed log. */
   isSafeToRemove(name: string): boolean {
     const { group } = this;
     if (!group.isCurrentLeader || !group.isConfigurationSettled) return false;
@@ -82,7 +82,7 @@
     return voters.every((voter) => voter.id === group.ownId || this.holdsLog(voter.id));
   }
 
-  private async keep(): Promise<void> {
+  private async reconcile(): Promise<void> {
     this.lastIndexes.push(this.group.log.lastIndex);
     if (this.lastIndexes.length > CAUGHT_UP_INTERVALS) this.lastIndexes.shift();
     if (this.isBusy || !this.group.isCurrentLeader || !this.group.isConfigurationSettled) return;
@@ -90,7 +90,7 @@
     if (!step) return;
     this.isBusy = true;
     try {
-      await this.take(step);
+      await this.execute(step);
     } catch (error) {
       this.options.logger.warn('membership step failed', { description: describeError(error) });
     } finally {
@@ -101,7 +101,7 @@
   private nextStep(): MembershipStep | undefined {
     const now = monotonicMs();
     for (const [id, candidate] of this.candidates) {
-      if (now - candidate.seenAt > CANDIDATE_VALID_MS) this.candidates.delete(id);
+      if (now - candidate.announcedAt > CANDIDATE_TTL_MS) this.candidates.delete(id);
     }
     return planMembershipStep({
       configuration: this.group.configuration,
@@ -115,7 +115,7 @@
     });
   }
 
-  private async take(step: MembershipStep): Promise<void> {
+  private async execute(step: MembershipStep): Promise<void> {
     const { group } = this;
     const member = step.kind === 'hand-over' ? undefined : step.member;
     this.options.logger.info('membership step', {
@@ -129,9 +129,8 @@
   }
 
   /**
-   * A silent member that presented itself before its removal is no candidate any more; a process that
-   * still runs presents itself again. Otherwise a member without power is taken back and removed by
-   * turns, and all watchers are told each time.
+   * Also drops the candidate entry of an unreachable member: otherwise a member that has just crashed would be
+   * admitted and removed repeatedly. A running process announces itself again.
    */
   private async remove(member: Member): Promise<void> {
     if (!this.isReachable(member.id)) this.candidates.delete(member.id);
@@ -142,22 +141,22 @@
     return monotonicMs() - this.lastContactMs(id) < UNREACHABLE_AFTER_MS;
   }
 
-  /** A member counts as heard when this leader began to lead. */
+  /** The start of this leader's term counts as contact with every member. */
   private lastContactMs(id: string): number {
     return Math.max(this.group.contactMsOf(id), this.group.leadingSince);
   }
 
   private isCaughtUp(id: string): boolean {
-    const [earlierLastIndex = 0] = this.lastIndexes;
-    const heldIndex = this.group.matchIndexOf(id);
-    return this.lagOf(id) <= CAUGHT_UP_LAG || heldIndex >= earlierLastIndex;
+    const [oldestLastIndex = 0] = this.lastIndexes;
+    const matchIndex = this.group.matchIndexOf(id);
+    return this.lagOf(id) <= CAUGHT_UP_LAG || matchIndex >= oldestLastIndex;
   }
 
   private lagOf(id: string): number {
     return this.group.log.lastIndex - this.group.matchIndexOf(id);
   }
 
-  /** What a silent voter acknowledged may be gone with its disk. */
+  /** An unreachable voter does not count, because it may have lost its disk. */
   private holdsLog(id: string): boolean {
     return this.isReachable(id) && this.group.matchIndexOf(id) >= this.group.commitIndex;
   }
