--- a/src/membership/configuration-fetcher.ts
+++ b/src/membership/configuration-fetcher.ts
@@ -1,6 +1,6 @@
 /**
- * Fetches a whole configuration, for a gateway that starts or has missed too much. Any control member
- * that has the revision may serve it, so that a region that comes back does not ask one leader only.
+ * Fetches a whole configuration for a gateway that has just started or lags too far. Any control member that has
+ * the revision can serve it, so that a restarting region does not overload the leader.
  */
 import { gunzip } from 'node:zlib';
 import { promisify } from 'node:util';
@@ -17,9 +17,9 @@
 
 export interface ConfigurationFetcherOptions {
   peers: PeerCaller;
-  /** Control members, the nearest first. */
+  /** Addresses of control members, nearest first. */
   addresses: readonly string[];
-  /** Decodes what was fetched. @default decodeConfigurationDocument */
+  /** Decodes the fetched document. @default decodeConfigurationDocument */
   decode?: (bytes: Uint8Array, revision: number) => Promise<IntentDocument>;
 }
 
--- a/src/membership/index.ts
+++ b/src/membership/index.ts
@@ -1,4 +1,4 @@
-/** Membership of gateways: configuration leases, granted by the leader of the intents group. */
+/** Configuration leases of gateways, granted by the leader of the intents group. */
 export {
   ConfigurationFetcher,
   type Configuration,
--- a/src/membership/lease-holder.ts
+++ b/src/membership/lease-holder.ts
@@ -1,6 +1,6 @@
 /**
- * A gateway's side of its configuration lease: one task renews it, takes over new revisions, and
- * knows on the monotonic clock whether the gateway may start work now.
+ * A gateway's side of its configuration lease: a task that renews the lease and applies new revisions. The expiry is
+ * measured on the monotonic clock.
  */
 import { monotonicMs, sleep } from '../common/index.js';
 import { type GroupClient } from '../consensus/index.js';
@@ -27,12 +27,12 @@
   incarnation: string;
   address: string;
   zone: string;
-  /** Time between two renewals, in milliseconds. */
+  /** Interval between renewals, in milliseconds. */
   renewIntervalMs: number;
   logger: Logger;
-  /** Called when a new revision has come into force here. */
+  /** Called when a new revision has been applied. */
   onConfiguration: (document: IntentDocument, revision: number) => void;
-  /** Called at every renewal with the machines that the platform calls leaving. */
+  /** Called at every renewal with the machines that the platform lists as leaving. */
   onLeaving: (machines: readonly string[]) => void;
 }
 
@@ -43,7 +43,7 @@
   private expiresAtMs = Number.NEGATIVE_INFINITY;
   private heldRevision = 0;
   private currentDocument: IntentDocument = EMPTY_DOCUMENT;
-  private hadLease = false;
+  private wasHeld = false;
   private readonly stopping = new AbortController();
 
   constructor(private readonly options: LeaseHolderOptions) {}
@@ -56,7 +56,7 @@
     this.stopping.abort();
   }
 
-  /** Whether the gateway may start work now. Ask again right before each dispatch. */
+  /** Whether the gateway may start work. Check again immediately previousRevision each dispatch. */
   get isHeld(): boolean {
     return monotonicMs() < this.expiresAtMs;
   }
@@ -72,28 +72,28 @@
   private async run(): Promise<void> {
     while (!this.stopping.signal.aborted) {
       const renewed = await this.renew();
-      this.noteChange();
+      this.logLeaseChange();
       const pause = renewed ? this.options.renewIntervalMs : RETRY_DELAY_MS;
       await sleep(pause, this.stopping.signal);
     }
   }
 
-  /** One renewal; a second one follows at once when it brought a new revision. */
+  /** Renews the lease, and renews it again immediately if a new revision was applied. */
   private async renew(): Promise<boolean> {
     const sentAt = monotonicMs();
-    const before = this.heldRevision;
+    const previousRevision = this.heldRevision;
     try {
       const grant = await this.requestGrant();
       this.options.onLeaving(grant.leaving);
-      // The revision first: the lease is for acting on what the leader knows.
-      await this.takeUpdate(grant.update);
-      if (this.heldRevision >= revisionOf(grant.update, before)) {
+      // The revision is applied previousRevision the lease is extended, because the lease covers the leader's revision.
+      await this.applyUpdate(grant.update);
+      if (this.heldRevision >= revisionOf(grant.update, previousRevision)) {
         this.expiresAtMs = Math.max(this.expiresAtMs, sentAt + grant.leaseMs);
       }
     } catch {
       return false;
     }
-    return this.heldRevision === before || this.renew();
+    return this.heldRevision === previousRevision || this.renew();
   }
 
   private async requestGrant(): Promise<LeaseGrant> {
@@ -117,36 +117,36 @@
     );
   }
 
-  private async takeUpdate(update: ConfigurationUpdate): Promise<void> {
+  private async applyUpdate(update: ConfigurationUpdate): Promise<void> {
     if (update.kind === 'changes') {
-      this.take({
+      this.applyConfiguration({
         revision: update.revision,
         document: applyChanges(this.currentDocument, update.changes),
       });
     } else if (update.kind === 'fetch') {
       const { signal } = this.stopping;
       const fetched = await this.options.fetcher.fetch(update.revision, signal);
-      if (fetched) this.take(fetched);
+      if (fetched) this.applyConfiguration(fetched);
     }
   }
 
-  private take({ revision, document }: Configuration): void {
-    // Revisions never go down, whatever arrives late.
+  private applyConfiguration({ revision, document }: Configuration): void {
+    // Late responses must not lower the revision.
     if (revision <= this.heldRevision) return;
     this.currentDocument = document;
     this.heldRevision = revision;
     this.options.onConfiguration(document, revision);
   }
 
-  private noteChange(): void {
-    if (this.isHeld === this.hadLease) return;
-    this.hadLease = this.isHeld;
-    const message = this.hadLease ? 'configuration lease held' : 'configuration lease lost';
+  private logLeaseChange(): void {
+    if (this.isHeld === this.wasHeld) return;
+    this.wasHeld = this.isHeld;
+    const message = this.wasHeld ? 'configuration lease held' : 'configuration lease lost';
     this.options.logger.info(message, { revision: this.heldRevision });
   }
 }
 
-/** The revision that an update leads to. */
-function revisionOf(update: ConfigurationUpdate, known: number): number {
-  return update.kind === 'none' ? known : update.revision;
+/** The revision after an update is applied. */
+function revisionOf(update: ConfigurationUpdate, heldRevision: number): number {
+  return update.kind === 'none' ? heldRevision : update.revision;
 }
--- a/src/membership/lease-registry.ts
+++ b/src/membership/lease-registry.ts
@@ -1,7 +1,7 @@
 /**
- * The configuration leases that the leader of the intents group has granted. They live in the
- * leader's memory only: a new leader waits one lease time before it calls a revision in force,
- * because by then every lease that an earlier leader granted has run out or was renewed here.
+ * Configuration leases granted by the leader of the intents group, kept in its memory only. A new leader waits one
+ * lease time before it reports a revision as in effect: by then every lease of an earlier leader has expired or
+ * was renewed here.
  */
 import { monotonicMs } from '../common/index.js';
 import type { RenewLeaseRequest } from './messages.js';
@@ -11,9 +11,9 @@
   incarnation: string;
   address: string;
   zone: string;
-  /** The revision that the gateway last said it acts on. */
+  /** Revision that the gateway reported last. */
   revision: number;
-  /** End of the lease on this leader's monotonic clock, in milliseconds; never too early. */
+  /** Expiry on this leader's monotonic clock, in milliseconds; never earlier than the gateway's own expiry. */
   expiresAtMs: number;
 }
 
@@ -23,7 +23,7 @@
 
   constructor(private readonly leaseMs: number) {}
 
-  /** Forgets everything: leadership begins now. */
+  /** Clears the registry at the start of leadership. */
   start(): void {
     this.leases.clear();
     this.startedAtMs = monotonicMs();
@@ -34,10 +34,10 @@
     this.startedAtMs = Number.POSITIVE_INFINITY;
   }
 
-  /** Notes a renewal that arrived at `receivedAtMs`; call it only after leadership is confirmed. */
+  /** Records a renewal; must be called only after leadership is confirmed. */
   renew(request: RenewLeaseRequest): void {
     const { gateway, incarnation, address, zone, revision } = request;
-    // The gateway counts from when it sent the request, which was earlier than now.
+    // The gateway counts from when it sent the request, so its lease expires earlier than this.
     const expiresAtMs = monotonicMs() + this.leaseMs;
     this.leases.set(`${gateway}/${incarnation}`, {
       gateway,
@@ -49,7 +49,7 @@
     });
   }
 
-  /** Leases that have not run out. */
+  /** Leases that have not expired. */
   live(): GatewayLease[] {
     const now = monotonicMs();
     for (const [key, lease] of this.leases) {
@@ -58,21 +58,21 @@
     return [...this.leases.values()];
   }
 
-  /** Gateways that have a configuration; one that just started acts on nothing yet. */
-  private acting(): GatewayLease[] {
+  /** Leases of gateways that have a configuration, which excludes those that have just started. */
+  private configuredLeases(): GatewayLease[] {
     return this.live().filter((lease) => lease.revision > 0);
   }
 
-  /** Whether no gateway can act on a revision before `revision` any more. */
+  /** Whether no gateway can still use a revision before `revision`. */
   isInForce(revision: number): boolean {
-    const knowsAll = monotonicMs() - this.startedAtMs >= this.leaseMs;
-    return knowsAll && this.acting().every((lease) => lease.revision >= revision);
+    const isComplete = monotonicMs() - this.startedAtMs >= this.leaseMs;
+    return isComplete && this.configuredLeases().every((lease) => lease.revision >= revision);
   }
 
-  /** The lowest revision that any gateway may act on; undefined while that is not known. */
+  /** The lowest revision that a gateway may be using; undefined while it is not known. */
   lowestRevision(): number | undefined {
     if (monotonicMs() - this.startedAtMs < this.leaseMs) return undefined;
-    const revisions = this.acting().map((lease) => lease.revision);
+    const revisions = this.configuredLeases().map((lease) => lease.revision);
     return revisions.length === 0 ? undefined : Math.min(...revisions);
   }
 }
--- a/src/membership/membership.test.ts
+++ b/src/membership/membership.test.ts
@@ -1,4 +1,4 @@
-/** Configuration leases on both sides, with a clock that the test moves. */
+/** Configuration leases of gateways and leader, with a simulated clock. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type { GroupClient } from '../consensus/index.js';
 import { type IntentDocument, intentDocumentSchema } from '../intents/index.js';
@@ -17,7 +17,7 @@
   return intentDocumentSchema.parse({ models: models.map((id) => ({ id })) });
 }
 
-/** A leader whose answers the test chooses. */
+/** A leader with scripted responses. */
 class ScriptedLeader {
   isReachable = true;
   delayMs = 0;
@@ -27,10 +27,12 @@
   async callWithRedirect(_group: string, _method: unknown, request: RenewLeaseRequest) {
     this.requests.push(request);
     if (this.delayMs > 0) await new Promise((resolve) => setTimeout(resolve, this.delayMs));
-    if (!this.isReachable) throw new Error('cut off');
+    if (!this.isReachable) throw new Error('leader unreachable');
     const { revision } = this;
-    const isNews = request.revision !== revision;
-    const update: LeaseGrant['update'] = isNews ? { kind: 'fetch', revision } : { kind: 'none' };
+    const isOutdated = request.revision !== revision;
+    const update: LeaseGrant['update'] = isOutdated
+      ? { kind: 'fetch', revision }
+      : { kind: 'none' };
     return { leaseMs: LEASE_MS, update, leaving: [] } satisfies LeaseGrant;
   }
 }
@@ -56,7 +58,7 @@
 }
 
 describe('a gateway', () => {
-  it('may start work only while its lease holds', async () => {
+  it('may start work only while it holds a lease', async () => {
     const leader = new ScriptedLeader();
     const { holder } = startHolder(leader);
     expect(holder.isHeld).toBe(false);
@@ -71,7 +73,7 @@
     holder.stop();
   });
 
-  it('counts the lease from when it asked, however late the answer comes', async () => {
+  it('counts the lease from when it sent the request', async () => {
     const leader = new ScriptedLeader();
     leader.delayMs = LEASE_MS + 100;
     const { holder } = startHolder(leader);
@@ -81,18 +83,18 @@
     holder.stop();
   });
 
-  it('has lost its lease when it wakes from a freeze', async () => {
+  it('has lost its lease after its process was suspended', async () => {
     const { holder } = startHolder(new ScriptedLeader());
     await vi.advanceTimersByTimeAsync(10);
-    // The clock jumps; no timer of the process runs meanwhile.
-    const frozenUntil = performance.now() + LEASE_MS + 1;
-    vi.spyOn(performance, 'now').mockReturnValue(frozenUntil);
+    // The clock advances without running any timers.
+    const resumedAt = performance.now() + LEASE_MS + 1;
+    vi.spyOn(performance, 'now').mockReturnValue(resumedAt);
     expect(holder.isHeld).toBe(false);
     vi.restoreAllMocks();
     holder.stop();
   });
 
-  it('takes over new revisions at once and never goes back', async () => {
+  it('applies new revisions at once and never an earlier one', async () => {
     const leader = new ScriptedLeader();
     const { holder, revisions } = startHolder(leader);
     await vi.advanceTimersByTimeAsync(10);
@@ -115,7 +117,7 @@
     revision,
   });
 
-  it('calls nothing in force before the leases of its predecessor have run out', async () => {
+  it('reports no revision as in effect before the leases of its predecessor have expired', async () => {
     const registry = new LeaseRegistry(LEASE_MS);
     registry.start();
     expect(registry.isInForce(1)).toBe(false);
@@ -123,7 +125,7 @@
     expect(registry.isInForce(1)).toBe(true);
   });
 
-  it('waits for the last gateway to act on a revision, or for its lease to run out', async () => {
+  it('waits until the last gateway uses a revision or its lease expires', async () => {
     const registry = new LeaseRegistry(LEASE_MS);
     registry.start();
     await vi.advanceTimersByTimeAsync(LEASE_MS);
@@ -138,7 +140,7 @@
     expect(registry.live().map((lease) => lease.gateway)).toEqual(['gateway-1']);
   });
 
-  it('knows nothing once it leads no more', () => {
+  it('reports nothing as in effect once it is no longer the leader', () => {
     const registry = new LeaseRegistry(LEASE_MS);
     registry.start();
     registry.stop();
--- a/src/membership/messages.ts
+++ b/src/membership/messages.ts
@@ -1,27 +1,27 @@
-/** Messages by which gateways hold their configuration lease. */
+/** Messages for configuration leases of gateways. */
 import { defineMethod } from '../wire/index.js';
 import type { ConfigurationUpdate } from '../intents/index.js';
 
 export interface RenewLeaseRequest {
   gateway: string;
-  /** Differs between two runs of the same gateway. */
+  /** Differs between runs of the same gateway. */
   incarnation: string;
-  /** Address of the gateway's callers' interface, shown to operators. */
+  /** Address that the gateway serves callers on, shown to operators. */
   address: string;
   zone: string;
-  /** The revision that the gateway acts on now; 0 for none. */
+  /** Current revision of the gateway; 0 for none. */
   revision: number;
 }
 
 export interface LeaseGrant {
-  /** How long the lease holds, counted from when the gateway sent its request, in milliseconds. */
+  /** Duration of the lease from when the gateway sent its request, in milliseconds. */
   leaseMs: number;
   update: ConfigurationUpdate;
-  /** Machines that the platform calls leaving; a hint. */
+  /** Machines that the platform lists as leaving; a hint only. */
   leaving: string[];
 }
 
-/** The answer of a member that does not lead the intents group. */
+/** Response of a member that does not lead the intents group. */
 export interface LeaseRedirect {
   leaderAddress?: string;
 }
@@ -29,14 +29,14 @@
 export type RenewLeaseResponse = { grant: LeaseGrant } | { redirect: LeaseRedirect };
 
 export interface FetchConfigurationRequest {
-  /** The lowest revision that is of use. */
+  /** Minimum revision to return. */
   atLeast: number;
 }
 
 export type FetchConfigurationResponse =
-  /** The document, encoded and compressed by gzip. */
+  /** The encoded document, compressed with gzip. */
   | { revision: number; document: Uint8Array }
-  /** `behind`: the member does not have the revision yet; `busy`: come back later. */
+  /** `behind`: the member does not have the revision yet; `busy`: retry later. */
   | { refusal: 'behind' | 'busy' };
 
 /** Served by every control member. */
