--- a/src/intents/commands.ts
+++ b/src/intents/commands.ts
@@ -2,27 +2,27 @@
 import type { IntentChange, IntentDocument } from './document.js';
 import type { PartialDocument } from './partial-document.js';
 
-/** What an operator sends: the whole document as it shall be. */
+/** Request of an operator, with the whole desired document. */
 export interface PlanCommand {
   type: 'plan';
   operator: string;
   document: IntentDocument;
 }
 
-/** The same for operators who send only what shall differ. */
+/** Request of an operator, with only the desired changes. */
 export interface PartialPlanCommand {
   type: 'partial-plan';
   operator: string;
   partial: PartialDocument;
 }
 
-/** What is replicated of it: only what differs from the leader's current document. */
+/** Replicated form of a plan: only the differences from the leader's current document. */
 export interface PreparedPlanCommand {
   type: 'prepared-plan';
   plan: Plan;
 }
 
-/** Replicated in place of a plan whose document would not fit together. */
+/** Replicated in place of a plan whose document would be inconsistent. */
 export interface RefusedPlanCommand {
   type: 'refused-plan';
   problems: string[];
@@ -32,7 +32,7 @@
   type: 'confirm';
   operator: string;
   planId: string;
-  /** Chosen by the operator's tool; a repeated request gets the first result. */
+  /** Idempotency key, chosen by the operator's tool; a repeated request gets the first result. */
   requestId: string;
 }
 
@@ -42,13 +42,13 @@
 export interface Plan {
   id: string;
   operator: string;
-  /** The revision that the plan starts from; it can be confirmed only while this is current. */
+  /** Revision that the plan is based on; the plan can be confirmed only while it is current. */
   baseRevision: number;
   contentHash: string;
   changes: IntentChange[];
 }
 
-/** One accepted change of the configuration. */
+/** An accepted change of the configuration. */
 export interface Revision {
   revision: number;
   planId: string;
@@ -59,12 +59,12 @@
 
 export type PlanResult =
   | { status: 'planned'; plan: Plan }
-  /** The document that the plan leads to does not fit together. */
+  /** The resulting document is inconsistent. */
   | { status: 'inconsistent'; problems: string[] };
 
 export type ConfirmResult =
   | { status: 'accepted'; revision: Revision }
-  /** Another plan was confirmed since this one was made. */
+  /** Another plan was confirmed after this one was made. */
   | { status: 'stale'; current: Revision }
   | { status: 'unknown-plan' }
   /** The request id was used for another plan. */
@@ -79,9 +79,9 @@
   document: IntentDocument;
 }
 
-/** How a process gets from its revision to the current one. */
+/** Brings a process from its revision to the current one. */
 export type ConfigurationUpdate =
   | { kind: 'none' }
   | { kind: 'changes'; revision: number; changes: IntentChange[] }
-  /** Too much is missing: fetch the whole document of this or a later revision. */
+  /** The process lags too far: it must fetch the whole document of this or a later revision. */
   | { kind: 'fetch'; revision: number };
--- a/src/intents/document.ts
+++ b/src/intents/document.ts
@@ -1,6 +1,6 @@
 /**
- * The intent document: which models, tenants and back ends there are and how they shall be used.
- * Operators declare the whole document; plans and deltas are computed item by item.
+ * The intent document: the desired state of models, tenants and backends, as declared by operators. Plans and deltas
+ * are computed item by item.
  */
 import { z } from 'zod';
 import { sha256Hex } from '../common/index.js';
@@ -15,18 +15,18 @@
   id: identifier,
   /** Version of the weights to serve. */
   version: identifier.default('v1'),
-  /** Adapters to load beside the model. */
+  /** Adapters to load with the model. */
   adapters: z.array(identifier).default([]),
 });
 
 export const tenantSchema = z.strictObject({
   id: identifier,
-  /** SHA-256 of each API key; keys themselves are never stored. */
+  /** SHA-256 of each API key; the keys are never stored. */
   keyHashes: z.array(sha256).min(1),
   models: z.array(identifier).min(1),
-  /** Share of the back ends relative to other tenants. */
+  /** Share of the backends relative to other tenants. */
   weight: z.number().positive().max(1000).default(1),
-  /** Highest budget of one program, in tokens. */
+  /** Maximum token budget of a program. */
   maxProgramBudget: z.number().int().positive().default(10_000_000),
 });
 
@@ -37,9 +37,9 @@
   address,
   /** Models that an engine serves. */
   models: z.array(identifier).default([]),
-  /** Services that a service back end offers. */
+  /** Services that a service backend offers. */
   services: z.array(identifier).default([]),
-  /** `draining`: takes no new work, finishes what it has. */
+  /** `draining`: accepts no new work and finishes its current work. */
   state: z.enum(['active', 'draining']).default('active'),
 });
 
@@ -68,10 +68,10 @@
   item?: IntentItem;
 }
 
-/** Problems that the schema alone cannot see. Empty when there are none. */
+/** Problems that the schema cannot detect, such as references to unknown models; empty if there are none. */
 export function findInconsistencies(document: IntentDocument): string[] {
   const problems: string[] = [];
-  for (const section of SECTIONS) problems.push(...findRepeatedIds(document, section));
+  for (const section of SECTIONS) problems.push(...findDuplicateIds(document, section));
   const models = new Set(document.models.map((model) => model.id));
   for (const tenant of document.tenants) {
     for (const model of tenant.models) {
@@ -82,31 +82,31 @@
     for (const model of backend.models) {
       if (!models.has(model)) problems.push(`backends/${backend.id}: unknown model ${model}`);
     }
-    const isUseless = backend.kind === 'engine' ? backend.models.length : backend.services.length;
-    if (isUseless === 0) problems.push(`backends/${backend.id}: serves nothing`);
+    const servedCount = backend.kind === 'engine' ? backend.models.length : backend.services.length;
+    if (servedCount === 0) problems.push(`backends/${backend.id}: serves nothing`);
   }
   return problems;
 }
 
-/** What leads from one document to another, in a fixed order. */
+/** Changes that turn one document into another, in a deterministic order. */
 export function diffDocuments(from: IntentDocument, to: IntentDocument): IntentChange[] {
   return SECTIONS.flatMap((section) => diffSection(section, from[section], to[section]));
 }
 
-/** Applies changes to a document whose items are in order; the input stays as it is. */
+/** Applies changes to a normalized document, without modifying it. */
 export function applyChanges(document: IntentDocument, changes: IntentChange[]): IntentDocument {
   const result: IntentDocument = { ...document };
   for (const section of SECTIONS) {
-    const own = changes.filter((change) => change.section === section);
-    if (own.length === 0) continue;
+    const sectionChanges = changes.filter((change) => change.section === section);
+    if (sectionChanges.length === 0) continue;
     const items: IntentItem[] = document[section].slice();
-    for (const change of own) applyChange(items, change);
+    for (const change of sectionChanges) applyChange(items, change);
     Object.assign(result, { [section]: items });
   }
   return result;
 }
 
-/** Finds an item by its id; the items of a document are in the order of their ids. */
+/** Finds an item by binary search; the items must be sorted by id. */
 export function findItem<Item extends IntentItem>(
   items: readonly Item[],
   id: string,
@@ -122,7 +122,7 @@
   else items.splice(position, replaced);
 }
 
-/** Where the item with an id is, or would be, by binary search. */
+/** Position of an id in the sorted items, or where it would be inserted. */
 function positionOf(items: readonly IntentItem[], id: string): number {
   let low = 0;
   let high = items.length;
@@ -134,7 +134,7 @@
   return low;
 }
 
-/** Orders items so that equal documents have equal text. */
+/** Sorts the items by id, so that equal documents have equal text. */
 export function normalizeDocument(document: IntentDocument): IntentDocument {
   return {
     models: sortItems(document.models),
@@ -143,21 +143,21 @@
   };
 }
 
-/** Identity of a document's content. */
+/** Hash of a document's content, independent of the order of items. */
 export function contentHash(document: IntentDocument): string {
   const { models, tenants, backends } = normalizeDocument(document);
-  const texts = [models, tenants, backends].map((items) => items.map(textOf).join('\n'));
+  const texts = [models, tenants, backends].map((items) => items.map(serialize).join('\n'));
   return sha256Hex(texts.join('\n\n'));
 }
 
-/** Items never change, so that their text is made once. */
-const texts = new WeakMap<IntentItem, string>();
+/** Cache of serialized items, which are immutable. */
+const serializedItems = new WeakMap<IntentItem, string>();
 
-function textOf(item: IntentItem): string {
-  let text = texts.get(item);
+function serialize(item: IntentItem): string {
+  let text = serializedItems.get(item);
   if (text === undefined) {
     text = JSON.stringify(item);
-    texts.set(item, text);
+    serializedItems.set(item, text);
   }
   return text;
 }
@@ -167,7 +167,7 @@
   return isSorted ? items : [...items].sort((left, right) => (left.id < right.id ? -1 : 1));
 }
 
-function findRepeatedIds(document: IntentDocument, section: IntentSection): string[] {
+function findDuplicateIds(document: IntentDocument, section: IntentSection): string[] {
   const seen = new Set<string>();
   const problems: string[] = [];
   for (const { id } of document[section]) {
@@ -177,13 +177,13 @@
   return problems;
 }
 
-/** What makes an item of what was there under its id; undefined when they are equal. */
+/** The change that sets an item; undefined if it equals the old one. */
 export function itemChange(
   section: IntentSection,
   old: IntentItem | undefined,
   item: IntentItem,
 ): IntentChange | undefined {
-  if (old && textOf(old) === textOf(item)) return undefined;
+  if (old && serialize(old) === serialize(item)) return undefined;
   return { section, id: item.id, action: old ? 'change' : 'add', item };
 }
 
--- a/src/intents/index.ts
+++ b/src/intents/index.ts
@@ -1,4 +1,4 @@
-/** Intents: what operators want, as revisions that are planned and confirmed. */
+/** Intents: the desired state that operators declare, as planned and confirmed revisions. */
 export * from './commands.js';
 export * from './document.js';
 export {
@@ -8,5 +8,5 @@
 } from './partial-document.js';
 export { IntentStateMachine } from './intent-state-machine.js';
 
-/** Name of the replicated group that keeps the intents. */
+/** Name of the replicated group that stores the intents. */
 export const INTENTS_GROUP = 'intents';
--- a/src/intents/intent-state-machine.ts
+++ b/src/intents/intent-state-machine.ts
@@ -1,4 +1,4 @@
-/** Intents as a replicated state machine: plans, confirmed revisions, answers to repeated requests. */
+/** Replicated state machine for intents: plans, confirmed revisions and results of requests. */
 import { LRUCache } from 'lru-cache';
 import { sha256Hex } from '../common/index.js';
 import type { StateMachine } from '../consensus/index.js';
@@ -30,8 +30,8 @@
 } from './document.js';
 
 const MAX_PLANS = 256;
-const MAX_REMEMBERED_REQUESTS = 10_000;
-/** Revisions kept as deltas; who lacks more gets the whole document. */
+const MAX_REQUEST_RESULTS = 10_000;
+/** Revisions retained as deltas; a process that lags further gets the whole document. */
 const MAX_REVISIONS = 1_024;
 const PLAN_ID_DIGITS = 16;
 
@@ -39,10 +39,10 @@
   document: IntentDocument;
   revisions: Revision[];
   plans: Plan[];
-  requests: [string, RememberedRequest][];
+  requests: [string, RequestResult][];
 }
 
-interface RememberedRequest {
+interface RequestResult {
   planId: string;
   result: ConfirmResult;
 }
@@ -51,11 +51,11 @@
   private currentDocument: IntentDocument = EMPTY_DOCUMENT;
   private revisions: Revision[] = [];
   private readonly plans = new LRUCache<string, Plan>({ max: MAX_PLANS });
-  private readonly requests = new LRUCache<string, RememberedRequest>({
-    max: MAX_REMEMBERED_REQUESTS,
+  private readonly requests = new LRUCache<string, RequestResult>({
+    max: MAX_REQUEST_RESULTS,
   });
 
-  /** @param onRevision called after each new revision and after a restored snapshot */
+  /** @param onRevision called after each new revision and after restoring a snapshot */
   constructor(private readonly onRevision: () => void = () => undefined) {}
 
   get revision(): number {
@@ -67,12 +67,12 @@
   }
 
   /**
-   * Works out on the leader what is replicated. A plan is bound to the revision that it was worked
-   * out against; if another is confirmed before it, it is stale like any other.
+   * Computes, on the leader, the command to replicate. A plan is bound to the revision that it was computed from, and
+   * is stale once another plan is confirmed.
    */
   prepare(command: IntentCommand): ReplicatedIntentCommand {
     if (command.type === 'confirm') return command;
-    const { document, changes } = this.outcomeOf(command);
+    const { document, changes } = this.resolve(command);
     const problems = findInconsistencies(document);
     if (problems.length > 0) return { type: 'refused-plan', problems };
     const hash = contentHash(document);
@@ -104,7 +104,7 @@
         .reverse(),
       requests: this.requests
         .dump()
-        .map(([id, entry]): [string, RememberedRequest] => [id, entry.value])
+        .map(([id, entry]): [string, RequestResult] => [id, entry.value])
         .reverse(),
     };
     return [encodeValue(state)];
@@ -136,9 +136,9 @@
     }
   }
 
-  /** What a process at `knownRevision` needs to reach the current revision. */
+  /** The update that brings a process from `knownRevision` to the current revision. */
   updateFrom(knownRevision: number): ConfigurationUpdate {
-    // A gateway may have fetched from a member that had applied more than this one.
+    // A gateway may have fetched a later revision from another member.
     if (knownRevision >= this.revision) return { kind: 'none' };
     const missing = this.revisions.filter((entry) => entry.revision > knownRevision);
     const isGapless = missing[0]?.revision === knownRevision + 1;
@@ -149,7 +149,7 @@
     return { kind: 'changes', revision, changes: missing.flatMap((entry) => entry.changes) };
   }
 
-  private outcomeOf(command: PlanCommand | PartialPlanCommand): {
+  private resolve(command: PlanCommand | PartialPlanCommand): {
     document: IntentDocument;
     changes: IntentChange[];
   } {
@@ -168,10 +168,10 @@
   }
 
   private applyConfirm(command: ConfirmCommand): ConfirmResult {
-    const remembered = this.requests.peek(command.requestId);
-    if (remembered) {
-      if (remembered.planId === command.planId) return remembered.result;
-      return { status: 'request-reused', planId: remembered.planId };
+    const previous = this.requests.peek(command.requestId);
+    if (previous) {
+      if (previous.planId === command.planId) return previous.result;
+      return { status: 'request-reused', planId: previous.planId };
     }
     const result = this.confirm(command);
     this.requests.set(command.requestId, { planId: command.planId, result });
--- a/src/intents/intents.test.ts
+++ b/src/intents/intents.test.ts
@@ -1,4 +1,4 @@
-/** Plans, races of operators, resends, deltas. */
+/** Plans, concurrent operators, repeated requests and deltas. */
 import fc from 'fast-check';
 import { beforeEach, describe, expect, it } from 'vitest';
 import { encodeValue } from '../wire/index.js';
@@ -39,7 +39,7 @@
 }
 
 describe('confirming', () => {
-  it('accepts one of two plans upon the same revision and names the winner to the other', () => {
+  it('accepts one of two plans for the same revision and reports it to the other operator', () => {
     const first = plan('ana', documentWith('a'));
     const second = plan('bruno', documentWith('b'));
     expect(first.baseRevision).toBe(second.baseRevision);
@@ -51,7 +51,7 @@
     expect(machine.document.models.map((model) => model.id)).toEqual(['b']);
   });
 
-  it('gives a resend the first result, also when the world has moved on', () => {
+  it('returns the first result to a repeated request, even after later revisions', () => {
     const first = plan('ana', documentWith('a'));
     const accepted = confirm('ana', first.id, 'r1');
     confirm('ana', plan('ana', documentWith('a', 'b')).id, 'r2');
@@ -59,7 +59,7 @@
     expect(machine.revision).toBe(2);
   });
 
-  it('refuses a request id that was used for another plan', () => {
+  it('rejects a request id that was used for another plan', () => {
     const first = plan('ana', documentWith('a'));
     const second = plan('ana', documentWith('b'));
     confirm('ana', first.id, 'r1');
@@ -73,7 +73,7 @@
     expect(confirm('ana', 'nonsense', 'r3')).toEqual({ status: 'unknown-plan' });
   });
 
-  it('remembers everything over a snapshot', () => {
+  it('preserves plans and request results in a snapshot', () => {
     const first = plan('ana', documentWith('a'));
     const accepted = confirm('ana', first.id, 'r1');
     const pending = plan('ana', documentWith('a', 'b'));
@@ -93,7 +93,7 @@
       partial: partialDocumentSchema.parse(partial),
     });
 
-  it('are the same plan as the whole document that they lead to', () => {
+  it('have the same plan id as the resulting whole document', () => {
     confirm('ana', plan('ana', documentWith('a', 'b')).id, 'r1');
     const whole = plan('ana', documentWith('b', 'c'));
     const result = partialPlan({ set: { models: [{ id: 'c' }] }, remove: { models: ['a'] } });
@@ -102,7 +102,7 @@
     expect(machine.document.models.map((model) => model.id)).toEqual(['b', 'c']);
   });
 
-  it('name only what differs', () => {
+  it('include only differences', () => {
     confirm('ana', plan('ana', documentWith('a')).id, 'r1');
     const result = partialPlan({
       set: { models: [{ id: 'a' }, { id: 'b' }] },
@@ -111,7 +111,7 @@
     expect(result).toMatchObject({ plan: { changes: [{ id: 'b', action: 'add' }] } });
   });
 
-  it('are refused when the outcome does not fit together', () => {
+  it('are rejected when the result is inconsistent', () => {
     confirm('ana', plan('ana', documentWith('a')).id, 'r1');
     const tenant = { id: 't', keyHashes: ['0'.repeat(64)], models: ['a'] };
     const added = partialPlan({ set: { tenants: [tenant] } });
@@ -141,7 +141,7 @@
     }
   });
 
-  it('name the whole document for one that lacks more than is kept', () => {
+  it('require a fetch when the process lags behind the retained revisions', () => {
     for (let index = 0; index < 1_100; index += 1) {
       confirm('ana', plan('ana', documentWith(`m${index}`)).id, `r${index}`);
     }
@@ -153,7 +153,7 @@
 describe('documents', () => {
   const names = fc.subarray(['a', 'b', 'c', 'd', 'e']);
 
-  it('differ by changes that lead from one to the other', () => {
+  it('equal the target after their differences are applied', () => {
     fc.assert(
       fc.property(names, names, (left, right) => {
         const [from, to] = [documentWith(...left), documentWith(...right)];
@@ -163,7 +163,7 @@
     );
   });
 
-  it('name what does not fit together', () => {
+  it('report inconsistencies', () => {
     const document = intentDocumentSchema.parse({
       models: [{ id: 'm' }, { id: 'm' }],
       tenants: [{ id: 't', keyHashes: ['0'.repeat(64)], models: ['none'] }],
--- a/src/intents/partial-document.ts
+++ b/src/intents/partial-document.ts
@@ -1,4 +1,4 @@
-/** A declaration of what shall differ only: items to set and items to remove. */
+/** A partial declaration: items to set and ids to remove. */
 import { z } from 'zod';
 import {
   type IntentChange,
@@ -16,7 +16,7 @@
 const ids = z.array(z.string().min(1)).default([]);
 
 export const partialDocumentSchema = z.strictObject({
-  /** Items that are added, or replaced where the id is known. */
+  /** Items to add, or to replace if the id exists. */
   set: z
     .strictObject({
       models: z.array(modelSchema).default([]),
@@ -24,19 +24,19 @@
       backends: z.array(backendSchema).default([]),
     })
     .prefault({}),
-  /** Ids of items that are removed. */
+  /** Ids of items to remove. */
   remove: z.strictObject({ models: ids, tenants: ids, backends: ids }).prefault({}),
 });
 
 export type PartialDocument = z.infer<typeof partialDocumentSchema>;
 
-/** Whether a declaration is partial: it names `set` or `remove`. */
+/** Whether a declaration is partial, that is, has a `set` or `remove` section. */
 export function isPartialDeclaration(declaration: unknown): boolean {
   const isMapping = typeof declaration === 'object' && declaration !== null;
   return isMapping && ('set' in declaration || 'remove' in declaration);
 }
 
-/** What a partial document changes in a whole one; items that are equal already are left out. */
+/** Changes that a partial document makes to the current one; unchanged items are omitted. */
 export function changesFromPartial(
   partial: PartialDocument,
   current: IntentDocument,
--- a/src/membership/lease-holder.ts
+++ b/src/membership/lease-holder.ts
@@ -147,6 +147,6 @@
 }
 
 /** The revision after an update is applied. */
-function revisionOf(update: ConfigurationUpdate, heldRevision: number): number {
-  return update.kind === 'none' ? heldRevision : update.revision;
+function revisionOf(update: ConfigurationUpdate, currentRevision: number): number {
+  return update.kind === 'none' ? currentRevision : update.revision;
 }
