--- a/src/control/cluster-formation.ts
+++ b/src/control/cluster-formation.ts
@@ -1,8 +1,7 @@
 /**
- * How a member with an empty data folder finds its cluster. It asks all members that its settings
- * name. If any of them belongs to a cluster, this member joins it as a new one; only when every
- * single one answers that it is as new as this one do they found a cluster together. So a member
- * whose disk was lost can never found a second cluster beside the first.
+ * Cluster discovery for a member with an empty data folder. It probes all configured members. If any of them belongs
+ * to a cluster, this member joins it as a new member; only if all of them respond that they are new do they bootstrap
+ * a cluster together. A member that lost its disk can therefore never bootstrap a second cluster.
  */
 import { type Logger } from '../observability/index.js';
 import { sleep } from '../common/index.js';
@@ -35,7 +34,7 @@
   peers: PeerCaller;
   logger: Logger;
   signal: AbortSignal;
-  /** Whether this process may found a cluster, rather than only join one. @default true */
+  /** Whether this process may bootstrap a cluster, rather than only join one. @default true */
   canBootstrap?: boolean;
 }
 
@@ -46,14 +45,15 @@
   });
 }
 
-/** Resolves once this member founded a cluster with all others, or found one to join. */
+/** Resolves once this member bootstraps a cluster with all others or has found one to join. */
 export async function discoverCluster(options: ClusterFormationOptions): Promise<void> {
   const { identity, logger, signal } = options;
   while (identity.identity.state === 'new' && !signal.aborted) {
-    const answers = await probeOthers(options);
+    const responses = await probeOthers(options);
     const canBootstrap = options.canBootstrap ?? true;
     const founders =
-      foundersKnownTo(answers) ?? (canBootstrap ? foundersTogether(options, answers) : undefined);
+      findExistingFounders(responses) ??
+      (canBootstrap ? proposeFounders(options, responses) : undefined);
     if (!founders) {
       await sleep(PROBE_INTERVAL_MS, signal);
       continue;
@@ -78,16 +78,17 @@
   );
 }
 
-function foundersKnownTo(answers: (ProbeResponse | undefined)[]): Member[] | undefined {
-  return answers.find((answer) => answer && answer.state !== 'new' && answer.founders.length > 0)
-    ?.founders;
+function findExistingFounders(responses: (ProbeResponse | undefined)[]): Member[] | undefined {
+  return responses.find(
+    (response) => response && response.state !== 'new' && response.founders.length > 0,
+  )?.founders;
 }
 
-function foundersTogether(
+function proposeFounders(
   options: ClusterFormationOptions,
-  answers: (ProbeResponse | undefined)[],
+  responses: (ProbeResponse | undefined)[],
 ): Member[] | undefined {
-  const ids = answers.map((answer) => answer?.memberId);
+  const ids = responses.map((response) => response?.memberId);
   if (ids.some((id) => id === undefined)) return undefined;
   const others = options.members.filter((member) => member.name !== options.ownName);
   const known = new Map(others.map((member, index) => [member.name, ids[index]!]));
--- a/src/control/configuration-server.ts
+++ b/src/control/configuration-server.ts
@@ -1,11 +1,11 @@
-/** Serves whole configurations to gateways: packed once a revision, within a bound of bytes a second. */
+/** Serves whole configurations to gateways: packed once per revision, with limited bandwidth. */
 import { gzipSync } from 'node:zlib';
 import { monotonicMs } from '../common/index.js';
 import type { IntentStateMachine } from '../intents/index.js';
 import type { FetchConfigurationRequest, FetchConfigurationResponse } from '../membership/index.js';
 import { encodeValue } from '../wire/index.js';
 
-/** Leaves most of a small machine's network to everything else. */
+/** Leaves most of a small machine's network bandwidth to other traffic. */
 const MAX_BYTES_PER_SECOND = 48 * 1024 * 1024;
 const FASTEST_COMPRESSION = 1;
 const WINDOW_MS = 1_000;
@@ -20,7 +20,7 @@
   serve({ atLeast }: FetchConfigurationRequest): FetchConfigurationResponse {
     if (this.intents.revision < atLeast) return { refusal: 'behind' };
     const { revision, bytes } = this.pack();
-    if (!this.takeBandwidth(bytes.length)) return { refusal: 'busy' };
+    if (!this.tryConsumeBandwidth(bytes.length)) return { refusal: 'busy' };
     return { revision, document: bytes };
   }
 
@@ -33,7 +33,7 @@
     return this.packed;
   }
 
-  private takeBandwidth(bytes: number): boolean {
+  private tryConsumeBandwidth(bytes: number): boolean {
     const now = monotonicMs();
     if (now - this.windowStartMs >= WINDOW_MS) {
       this.windowStartMs = now;
--- a/src/control/control-process.ts
+++ b/src/control/control-process.ts
@@ -1,4 +1,4 @@
-/** The control process: replicated groups, their leaders' duties, and the operators' interface. */
+/** The control process: replicated groups, the tasks of their leaders, and the operator API. */
 import { join } from 'node:path';
 import { Agent } from 'undici';
 import { sendOrder, sendRelease } from '../backends/control-requests.js';
@@ -33,15 +33,15 @@
 
 export interface ControlProcessHooks {
   logger: Logger;
-  /** Called when the process must end because its storage or state can no longer be trusted. */
+  /** Called when the process must exit because its storage or state can no longer be trusted. */
   onFatal: (error: unknown) => void;
 }
 
-type GroupDuty = IntentsLeader | JournalLeader;
+type GroupLeader = IntentsLeader | JournalLeader;
 
 export class ControlProcess {
   private readonly router = new MethodRouter();
-  private readonly duties = new Map<string, GroupDuty>();
+  private readonly leaders = new Map<string, GroupLeader>();
   private readonly stopping = new AbortController();
   private readonly agent = new Agent({ connections: 4 });
   private readonly resolveAddress: (address: string) => string;
@@ -81,13 +81,13 @@
     return process;
   }
 
-  /** Hands over leaderships, finishes requests under way and closes everything. */
+  /** Transfers leaderships, completes requests in flight and closes all resources. */
   async stop(): Promise<void> {
     this.stopping.abort();
     this.reconciler?.stop();
     await this.host.stop();
     await this.operatorServer.drain();
-    for (const duty of this.duties.values()) duty.stop();
+    for (const leader of this.leaders.values()) leader.stop();
     this.rpcServer.close();
     this.peers.close();
     this.statusServer.close();
@@ -151,7 +151,7 @@
       }),
       logger: this.hooks.logger,
       onFatal: this.hooks.onFatal,
-      onLeadershipChange: (group) => this.duties.get(group.name)?.onLeadershipChange(),
+      onLeadershipChange: (group) => this.leaders.get(group.name)?.onLeadershipChange(),
     });
   }
 
@@ -160,19 +160,19 @@
     registerProbe(router, this.identity);
     this.host.registerHandlers(router);
     registerGroupService(router, this.host, {
-      prepareCommand: (group, body) => this.duties.get(group.name)!.prepareCommand(body),
-      answerQuery: (group, body) => this.duties.get(group.name)!.answerQuery(body),
+      prepareCommand: (group, body) => this.leaders.get(group.name)!.prepareCommand(body),
+      answerQuery: (group, body) => this.leaders.get(group.name)!.answerQuery(body),
     });
     router.handle(RENEW_LEASE, (request) => this.intents.renewLease(request));
     const configurations = new ConfigurationServer(this.intents.stateMachine);
     router.handle(FETCH_CONFIGURATION, (request) => configurations.serve(request));
     router.handle(AWAIT_SETTLED, async (request) => {
-      const duty = this.duties.get(request.group);
+      const leader = this.leaders.get(request.group);
       const group = this.host.find(request.group);
-      if (!(duty instanceof JournalLeader) || !group?.isLeader) {
+      if (!(leader instanceof JournalLeader) || !group?.isLeader) {
         return { leaderAddress: group?.leaderAddress };
       }
-      return { answer: await duty.awaitSettled(request) };
+      return { answer: await leader.awaitSettled(request) };
     });
     router.handle(CONFIGURATION_STATUS, async () => {
       const group = this.host.find(INTENTS_GROUP);
@@ -223,13 +223,13 @@
     await identity.save({ ...identity.identity, state: 'member' });
   }
 
-  /** A member that held a log must not vote without it, whatever became of the files. */
+  /** A member that has lost its log must not vote. */
   private requireLog(groups: ReplicatedGroup[]): void {
     if (this.identity.identity.state !== 'member') return;
     const empty = groups.find((group) => group.log.lastIndex === 0);
     if (!empty) return;
     throw new DamagedLogError(
-      'the log is gone but the identity is not; start with an empty folder',
+      'data folder has an identity but no log; restart with an empty data folder',
       {
         step: 'control.start',
         peer: empty.name,
@@ -238,10 +238,10 @@
   }
 
   private async openGroup(name: string): Promise<ReplicatedGroup> {
-    const duty = name === INTENTS_GROUP ? this.intents : this.createJournalLeader();
-    this.duties.set(name, duty);
-    const group = await this.host.openGroup(name, duty.stateMachine);
-    duty.attach(group);
+    const leader = name === INTENTS_GROUP ? this.intents : this.createJournalLeader();
+    this.leaders.set(name, leader);
+    const group = await this.host.openGroup(name, leader.stateMachine);
+    leader.attach(group);
     return group;
   }
 
@@ -249,7 +249,7 @@
     return new JournalLeader(async (backend, programs, fence) => {
       const { document } = this.intents.stateMachine;
       const intent = document.backends.find((candidate) => candidate.id === backend);
-      // A back end that operators removed holds nothing for anybody.
+      // A backend that operators have removed counts as released.
       if (!intent) return true;
       return sendRelease(this.agent, this.resolveAddress(intent.address), programs, fence);
     });
--- a/src/control/control.test.ts
+++ b/src/control/control.test.ts
@@ -1,4 +1,4 @@
-/** Placement of groups and the identity of a data folder. */
+/** Placement of groups and identity of a data folder. */
 import { rmSync } from 'node:fs';
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
@@ -30,7 +30,7 @@
     );
   });
 
-  it('leaves a majority when any one region is lost', () => {
+  it('keeps a majority when any single region is lost', () => {
     const members = Array.from({ length: 26 }, (_, index) => ({
       name: `control-${index}`,
       zone: `zone-${index % 15}`,
@@ -61,13 +61,13 @@
       const before = new Set(namesOf(members, group));
       return namesOf(added, group).filter((name) => !before.has(name));
     });
-    // A share of 3 in 11 of the groups has a replica on the new member, and few others move.
+    // 3 in 11 groups have a replica on the new member; few others move.
     expect(moved.length).toBeLessThan(groups.length * 3 * 0.2);
   });
 });
 
 describe('identity', () => {
-  it('stays with the folder and is a new one after the folder is lost', async () => {
+  it('persists with the folder and is new after the folder is lost', async () => {
     const folder = temporaryFolder();
     const first = await IdentityStore.open(folder, 'control-1');
     await first.save({ ...first.identity, state: 'member' });
--- a/src/control/held-program-reconciler.ts
+++ b/src/control/held-program-reconciler.ts
@@ -1,7 +1,7 @@
 /**
- * Finds engine memory that is held for programs that have ended although their release was
- * delivered, for example because a delayed call came after it. Every engine is looked after by the
- * control member that ranks highest for it, and more rarely by the second.
+ * Releases engine memory of programs that have ended although their release was already delivered, for example because
+ * a delayed call followed it. Each engine is checked by the control member that ranks first for it, and less
+ * often by the second.
  */
 import { type Agent, request } from 'undici';
 import { z } from 'zod';
@@ -27,16 +27,16 @@
 }
 
 const INTERVAL_MS = 2_000;
-/** Engines asked at the same time. */
+/** Maximum number of concurrent requests to engines. */
 const MAX_PARALLEL = 16;
-/** The second member looks once for so many times of the first. */
+/** Number of rounds of the first member per round of the second. */
 const SECOND_RANK_ROUNDS = 2;
 const TIMEOUT_MS = 1_500;
 const heldSchema = z.object({ held: z.array(z.string()) });
 
-/** The engines that this member looks after, by its rank for them. */
-interface OwnEngines {
-  /** The back ends from which they were ranked. */
+/** Engines that this member checks, by its rank for them. */
+interface AssignedEngines {
+  /** Backends of the configuration that the ranking was computed from. */
   backends: readonly BackendIntent[];
   first: BackendIntent[];
   second: BackendIntent[];
@@ -44,9 +44,9 @@
 
 export class HeldProgramReconciler {
   private readonly stopping = new AbortController();
-  /** Fences grow with time, so that a later release is never refused for an earlier one. */
+  /** Used as the fence, so that a release is never rejected because of an earlier one. */
   private round = 0;
-  private own: OwnEngines = { backends: [], first: [], second: [] };
+  private assigned: AssignedEngines = { backends: [], first: [], second: [] };
 
   constructor(private readonly options: HeldProgramReconcilerOptions) {}
 
@@ -63,34 +63,34 @@
     while (!signal.aborted) {
       await sleep(INTERVAL_MS, signal);
       this.round += 1;
-      const { first, second } = this.ownEngines();
+      const { first, second } = this.assignedEngines();
       const isSecondDue = this.round % SECOND_RANK_ROUNDS === 0;
-      const waiting = isSecondDue ? [...first, ...second] : [...first];
-      const workers = Array.from({ length: MAX_PARALLEL }, () => this.reconcileAll(waiting));
+      const queue = isSecondDue ? [...first, ...second] : [...first];
+      const workers = Array.from({ length: MAX_PARALLEL }, () => this.reconcileAll(queue));
       await Promise.all(workers);
     }
   }
 
-  /** One of several tasks that take engines from the same list. */
-  private async reconcileAll(waiting: BackendIntent[]): Promise<void> {
+  /** One of several workers that share a queue of engines. */
+  private async reconcileAll(queue: BackendIntent[]): Promise<void> {
     const { signal } = this.stopping;
-    for (let engine = waiting.pop(); engine && !signal.aborted; engine = waiting.pop()) {
+    for (let engine = queue.pop(); engine && !signal.aborted; engine = queue.pop()) {
       await this.reconcile(engine.address).catch(() => undefined);
     }
   }
 
-  /** Ranked anew only when the configuration's back ends have changed. */
-  private ownEngines(): OwnEngines {
+  /** Recomputed only when the backends of the configuration have changed. */
+  private assignedEngines(): AssignedEngines {
     const { backends } = this.options.document();
-    if (this.own.backends === backends) return this.own;
+    if (this.assigned.backends === backends) return this.assigned;
     const { memberNames, ownName } = this.options;
-    this.own = { backends, first: [], second: [] };
+    this.assigned = { backends, first: [], second: [] };
     for (const engine of backends.filter(({ kind }) => kind === 'engine')) {
       const [first, second] = rankForKey(engine.id, memberNames, (name) => name);
-      if (first === ownName) this.own.first.push(engine);
-      else if (second === ownName) this.own.second.push(engine);
+      if (first === ownName) this.assigned.first.push(engine);
+      else if (second === ownName) this.assigned.second.push(engine);
     }
-    return this.own;
+    return this.assigned;
   }
 
   private async reconcile(address: string): Promise<void> {
@@ -109,13 +109,13 @@
   private async findEnded(programIds: string[]): Promise<string[]> {
     const { groups, groupCount } = this.options;
     const byGroup = groupBy(programIds, (id) => journalGroupOf(id, groupCount));
-    const answers = await Promise.all(
+    const responses = await Promise.all(
       [...byGroup].map(([group, ids]) => {
         const query: JournalQuery = { type: 'ended-programs', programIds: ids };
         const limits = { timeoutMs: TIMEOUT_MS };
         return groups.query<JournalQuery, EndedProgramsResponse>(group, query, limits);
       }),
     );
-    return answers.flatMap((answer) => answer.programIds);
+    return responses.flatMap((response) => response.programIds);
   }
 }
--- a/src/control/identity-power-loss.test.ts
+++ b/src/control/identity-power-loss.test.ts
@@ -1,7 +1,6 @@
 /**
- * A process was killed between renaming the file of its identity and syncing the folder. The next process read the file,
- * presented itself by that identity and voted; then the power went, and the file with it, so that the start
- * after that took a new identity beside the log of the old one.
+ * Guards against using an identity whose file was renamed but not synced: after a power loss the member would get
+ * a new identity while it still has the log of the old one.
  */
 import { join } from 'node:path';
 import { expect, it, vi } from 'vitest';
@@ -20,7 +19,7 @@
   return identity;
 }
 
-it('keeps the identity that a start has found over a loss of power', async () => {
+it('keeps an identity that was read at startup across a power loss', async () => {
   const disk = new SimulatedDisk('identity', { seed: 1 });
   const killed = startAndIdentify(disk, 'sync folder /data');
   await expect(killed).rejects.toThrow();
--- a/src/control/identity.ts
+++ b/src/control/identity.ts
@@ -1,7 +1,6 @@
 /**
- * Identity of a data folder. A member is known by a random id that is written when its folder is
- * first used. A member whose disk is lost starts with an empty folder, gets a new id, and so can
- * never vote under the old one.
+ * Identity of a data folder: a random member id that is written on first use. A member that lost its disk starts with
+ * an empty folder and gets a new id, so that it can never vote under the old one.
  */
 import { randomBytes } from 'node:crypto';
 import { join } from 'node:path';
@@ -17,12 +16,12 @@
 
 const IDENTITY_FILE = 'identity.json';
 const ID_BYTES = 8;
-/** Pause between two tries on a full disk, in milliseconds; a start can bear that much. */
+/** Pause between attempts to write to a full disk. */
 const FULL_RETRY_MS = 200;
 
 /**
- * `new`: belongs to no cluster yet; `founding`: writes the first entries; `member`: founded the
- * cluster; `joining`: came to a cluster that was there before.
+ * `new`: not part of a cluster yet; `founding`: bootstrapping the cluster's groups; `member`: part of a cluster;
+ * `joining`: joining an existing cluster.
  */
 export type IdentityState = 'new' | 'founding' | 'member' | 'joining';
 
@@ -43,7 +42,7 @@
     await makeFolder(folder);
     const bytes = await readFileIfPresent(join(folder, IDENTITY_FILE));
     if (bytes) {
-      // A killed process may have renamed the file and not synced its name.
+      // An earlier process may have crashed after renaming the file, before syncing the folder.
       await syncFolder(folder);
       return new IdentityStore(folder, JSON.parse(bytes.toString('utf8')) as Identity);
     }
@@ -60,11 +59,11 @@
   /** Resolves once the identity is durable; waits while the disk is full. */
   async save(identity: Identity): Promise<void> {
     const bytes = Buffer.from(JSON.stringify(identity, null, 2));
-    while (!(await this.replaceIfThereIsRoom(bytes))) await sleep(FULL_RETRY_MS);
+    while (!(await this.tryReplace(bytes))) await sleep(FULL_RETRY_MS);
     this.current = identity;
   }
 
-  private async replaceIfThereIsRoom(bytes: Buffer): Promise<boolean> {
+  private async tryReplace(bytes: Buffer): Promise<boolean> {
     try {
       await replaceFile(this.folder, IDENTITY_FILE, bytes);
       return true;
--- a/src/control/intents-leader.ts
+++ b/src/control/intents-leader.ts
@@ -1,6 +1,6 @@
 /**
- * What the leader of the intents group does beside replicating: grants configuration leases, tells
- * when a revision is in force, and delivers orders to engines.
+ * Tasks of the leader of the intents group besides replication: grants configuration leases, reports when a revision
+ * is in effect, and delivers orders to engines.
  */
 import type { ReplicatedGroup } from '../consensus/index.js';
 import { monotonicMs } from '../common/index.js';
@@ -15,19 +15,19 @@
 import type { MachineList } from './machine-list.js';
 import { OrderDelivery, type OrderDeliveryOptions } from './order-delivery.js';
 
-/** What operators see of the configuration's spread. */
+/** Rollout status of the configuration, shown to operators. */
 export interface ConfigurationStatus {
-  /** The latest revision that a quorum accepted. */
+  /** Latest revision accepted by a quorum. */
   acceptedRevision: number;
-  /** Whether no gateway can act on an earlier revision any more. */
+  /** Whether no gateway can still use an earlier revision. */
   isInForce: boolean;
-  /** Time from acceptance here until it was first seen in force, in milliseconds. */
+  /** Time from acceptance on this member until the revision was first observed in effect, in milliseconds. */
   inForceAfterMs?: number;
   gateways: GatewayLease[];
 }
 
 export interface IntentsLeaderOptions {
-  /** How long a configuration lease holds, in milliseconds. */
+  /** Duration of a configuration lease, in milliseconds. */
   leaseMs: number;
   sendOrder: OrderDeliveryOptions['send'];
   machines: MachineList;
@@ -67,7 +67,7 @@
     this.leases.start();
     this.orders.start();
     this.options.machines.start();
-    this.timer = setInterval(() => this.watchInForce(), IN_FORCE_POLL_MS);
+    this.timer = setInterval(() => this.checkInForce(), IN_FORCE_POLL_MS);
   }
 
   stop(): void {
@@ -85,7 +85,7 @@
     return this.stateMachine.answer(decodeValue<IntentQuery>(body));
   }
 
-  /** Grants a lease once a quorum has confirmed that this member still leads. */
+  /** Grants a lease after a quorum has confirmed that this member is still the leader. */
   async renewLease(request: RenewLeaseRequest): Promise<RenewLeaseResponse> {
     if (!this.group.isLeader) return { redirect: { leaderAddress: this.group.leaderAddress } };
     try {
@@ -115,7 +115,7 @@
     this.orders.notify();
   }
 
-  private watchInForce(): void {
+  private checkInForce(): void {
     const { revision, atMs } = this.acceptedAt;
     if (this.inForce?.revision === revision || !this.leases.isInForce(revision)) return;
     this.inForce = { revision, afterMs: monotonicMs() - atMs };
--- a/src/control/join-task.ts
+++ b/src/control/join-task.ts
@@ -1,4 +1,4 @@
-/** Asks the leader of each group to take this member in, until it is a voter everywhere. */
+/** Requests admission from the leader of each group until this member is a voter in all of them. */
 import { sleep } from '../common/index.js';
 import {
   type GroupClient,
@@ -42,7 +42,7 @@
         limits,
       );
     } catch {
-      // Refused for now (for example: not caught up) or no leader: asked again below.
+      // Rejected for now (for example: not caught up) or no leader; retried after the interval.
     }
     await sleep(JOIN_INTERVAL_MS, signal);
   }
--- a/src/control/machine-list.ts
+++ b/src/control/machine-list.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the platform's list of machines while this member leads the intents group. The list lags, so
- * it is a hint that can only make work stop sooner: what it calls leaving gets no new calls.
+ * Polls the platform's list of machines while this member leads the intents group. The list lags, so it is only a
+ * hint: machines that it lists as leaving get no new calls.
  */
 import { type Agent, request } from 'undici';
 import { z } from 'zod';
@@ -15,19 +15,19 @@
 
 export interface MachineListOptions {
   agent: Agent;
-  /** `host:port` of the platform's list; without one nothing is known. */
+  /** `host:port` of the platform's list; if undefined, the list stays empty. */
   address: string | undefined;
 }
 
 export class MachineList {
   private stopping = new AbortController();
-  private known: string[] = [];
+  private latest: string[] = [];
 
   constructor(private readonly options: MachineListOptions) {}
 
-  /** Machines that are leaving or gone, as far as is known. */
+  /** Machines that are leaving or gone according to the latest list. */
   get leaving(): string[] {
-    return this.known;
+    return this.latest;
   }
 
   start(): void {
@@ -37,7 +37,7 @@
 
   stop(): void {
     this.stopping.abort();
-    this.known = [];
+    this.latest = [];
   }
 
   private async run(address: string): Promise<void> {
@@ -45,9 +45,9 @@
     while (!signal.aborted) {
       try {
         const leaving = await this.read(address);
-        if (!signal.aborted) this.known = leaving;
+        if (!signal.aborted) this.latest = leaving;
       } catch {
-        // The last list stays: a hint that is out of date does no harm.
+        // Keeps the last list: an outdated hint is harmless.
       }
       await sleep(POLL_INTERVAL_MS, signal);
     }
--- a/src/control/order-delivery.test.ts
+++ b/src/control/order-delivery.test.ts
@@ -1,4 +1,4 @@
-/** Orders to engines: only what changed, again now and then, never more at once than allowed. */
+/** Delivery of orders to engines: changes only, repetition, and the limit on concurrent orders. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type { EngineOrder } from '../backends/control-requests.js';
 import { type IntentDocument, intentDocumentSchema } from '../intents/index.js';
@@ -21,18 +21,18 @@
   });
 }
 
-interface Sent extends EngineOrder {
+interface SentOrder extends EngineOrder {
   address: string;
 }
 
-function startDelivery(first: IntentDocument, answer: () => Promise<boolean>) {
+function startDelivery(first: IntentDocument, respond: () => Promise<boolean>) {
   const current = { revision: 1, document: first };
-  const sent: Sent[] = [];
+  const sent: SentOrder[] = [];
   const delivery = new OrderDelivery({
     current: () => current,
     send: (address, order) => {
       sent.push({ address, ...order });
-      return answer();
+      return respond();
     },
   });
   delivery.start();
@@ -65,21 +65,21 @@
     delivery.stop();
   });
 
-  it('are tried until confirmed, and never too many at once', async () => {
+  it('are retried until confirmed, with limited concurrency', async () => {
     let pending = 0;
-    let most = 0;
+    let maximum = 0;
     let failures = 300;
-    const answer = async (): Promise<boolean> => {
+    const respond = async (): Promise<boolean> => {
       pending += 1;
-      most = Math.max(most, pending);
+      maximum = Math.max(maximum, pending);
       await new Promise((resolve) => setTimeout(resolve, 50));
       pending -= 1;
       failures -= 1;
       return failures < 0;
     };
-    const { sent, delivery } = startDelivery(documentOf(200), answer);
+    const { sent, delivery } = startDelivery(documentOf(200), respond);
     await vi.advanceTimersByTimeAsync(10_000);
-    expect(most).toBeLessThanOrEqual(64);
+    expect(maximum).toBeLessThanOrEqual(64);
     expect(new Set(sent.map((order) => order.address)).size).toBe(200);
     expect(sent.length).toBeGreaterThanOrEqual(500);
     delivery.stop();
--- a/src/control/order-delivery.ts
+++ b/src/control/order-delivery.ts
@@ -1,8 +1,7 @@
 /**
- * Brings engines to what the current revision says of them (role, models, versions, adapters) by
- * orders fenced with the revision. Runs on the leader of the intents group. A revision costs orders
- * to the engines that it changes only; all engines are told again in turn, at a bounded rate, because
- * one that restarted has forgotten its order.
+ * Delivers to engines what the current revision requires of them (role, models, versions, adapters), as orders fenced
+ * with the revision. Runs on the leader of the intents group. A new revision is sent only to engines that it
+ * changes; all orders are also repeated at a bounded rate, because a restarted engine has lost its order.
  */
 import { Backoff, SignalEvent, monotonicMs } from '../common/index.js';
 import type { EngineOrder } from '../backends/control-requests.js';
@@ -16,20 +15,20 @@
 
 const TICK_MS = 200;
 const MAXIMUM_RETRY_DELAY_MS = 2_000;
-/** An engine is told again after this time. */
+/** Time after which a confirmed order is sent again. */
 const REPEAT_AFTER_MS = 5_000;
-/** Engines told again in one tick, at most. */
+/** Maximum number of repeated orders per tick. */
 const REPEATS_PER_TICK = 40;
-/** Orders under way, at most: a zone that is gone must not keep the leader busy. */
-const MAX_PARALLEL = 64;
+/** Maximum number of orders in flight, so that an unreachable zone does not overload the leader. */
+const MAX_IN_FLIGHT = 64;
 
 type OrderContent = Omit<EngineOrder, 'fence'>;
 
-/** What is known of one engine's order. */
+/** Delivery state of one engine's order. */
 class EngineOrderState {
-  /** The content that the engine confirmed last, as text. */
+  /** Serialized content that the engine confirmed last. */
   confirmedText: string | undefined;
-  /** Not to be told again before this time (monotonic, milliseconds). */
+  /** Earliest time of the next attempt (monotonic, milliseconds). */
   nextAtMs = 0;
   isBusy = false;
   readonly backoff = new Backoff({ maximumMs: MAXIMUM_RETRY_DELAY_MS });
@@ -54,7 +53,7 @@
   private readonly wake = new SignalEvent();
   private stopping = new AbortController();
   private knownRevision = -1;
-  private parallel = 0;
+  private inFlight = 0;
 
   constructor(private readonly options: OrderDeliveryOptions) {}
 
@@ -70,7 +69,7 @@
     this.wake.notify();
   }
 
-  /** Tells the task that there is a new revision. */
+  /** Wakes the delivery task after a new revision. */
   notify(): void {
     this.wake.notify();
   }
@@ -78,24 +77,24 @@
   private async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const { revision, document } = this.options.current();
-      if (revision !== this.knownRevision) this.takeRevision(revision, document);
+      if (revision !== this.knownRevision) this.applyRevision(revision, document);
       this.sendDue();
       await this.wake.waitWithTimeout(TICK_MS);
     }
   }
 
-  private takeRevision(revision: number, document: IntentDocument): void {
+  private applyRevision(revision: number, document: IntentDocument): void {
     this.knownRevision = revision;
     const present = new Set<string>();
     for (const backend of document.backends) {
       if (backend.kind !== 'engine') continue;
       present.add(backend.id);
-      this.takeEngine(backend, document);
+      this.updateEngine(backend, document);
     }
     for (const id of this.engines.keys()) if (!present.has(id)) this.engines.delete(id);
   }
 
-  private takeEngine(backend: BackendIntent, document: IntentDocument): void {
+  private updateEngine(backend: BackendIntent, document: IntentDocument): void {
     const content = contentFor(backend, document);
     const text = JSON.stringify(content);
     const known = this.engines.get(backend.id);
@@ -114,8 +113,8 @@
     const due = [...this.engines.values()].filter((engine) => engine.isDue(now));
     const changed = due.filter((engine) => !engine.isConfirmed);
     const repeated = due.filter((engine) => engine.isConfirmed).slice(0, REPEATS_PER_TICK);
-    const room = MAX_PARALLEL - this.parallel;
-    for (const engine of [...changed, ...repeated].slice(0, room)) {
+    const capacity = MAX_IN_FLIGHT - this.inFlight;
+    for (const engine of [...changed, ...repeated].slice(0, capacity)) {
       void this.deliver(engine);
     }
   }
@@ -123,16 +122,16 @@
   private async deliver(engine: EngineOrderState): Promise<void> {
     const { address, content, text } = engine;
     engine.isBusy = true;
-    this.parallel += 1;
+    this.inFlight += 1;
     const order = { fence: this.knownRevision, ...content };
     const isConfirmed = await this.options.send(address, order).catch(() => false);
-    this.parallel -= 1;
+    this.inFlight -= 1;
     engine.isBusy = false;
     if (isConfirmed) {
       engine.confirmedText = text;
       engine.backoff.reset();
     }
-    // A change that came meanwhile is due at once.
+    // Content that changed during the request is sent immediately.
     const pauseMs = isConfirmed ? REPEAT_AFTER_MS : engine.backoff.nextDelayMs();
     engine.nextAtMs = engine.text === text ? monotonicMs() + pauseMs : 0;
   }
--- a/src/control/placement.ts
+++ b/src/control/placement.ts
@@ -1,11 +1,10 @@
-/** Which members hold which group: by highest random weight, spread over regions and zones. */
+/** Placement of groups on members: rendezvous hashing, spread over regions and zones. */
 import { rankForKey } from '../common/index.js';
 import type { ConfiguredMember } from './cluster-formation.js';
 
 /**
- * Chooses the members that hold a group.
- * @returns at most `replicas` members; no region gets another one while a region has fewer, and
- * within a region no zone gets a second one while another zone has none
+ * Chooses the members that replicate a group.
+ * @returns at most `replicas` members, distributed evenly over regions and, within a region, over zones
  */
 export function placeGroup(
   group: string,
@@ -31,7 +30,7 @@
   return chosen.filter((member) => member[place] === name).length;
 }
 
-/** Those members whose place is used least, in the order given. */
+/** Members with the fewest uses, in the given order. */
 function leastUsed(
   members: readonly ConfiguredMember[],
   usesOf: (member: ConfiguredMember) => number,
