--- a/src/ledger/allowance-tracker.ts
+++ b/src/ledger/allowance-tracker.ts
@@ -1,6 +1,6 @@
 /**
- * A gateway's allowances by program, as the ledger granted them, less what turns have taken that
- * the ledger has not confirmed yet.
+ * Allowances of a gateway by program: what the ledger granted, less the draws of turns whose
+ * settlement the ledger has not confirmed yet.
  */
 import { createLruMap } from '../common/index.js';
 
@@ -8,7 +8,7 @@
 
 interface Allowance {
   availableTokens: number;
-  /** Turns that took from the allowance and are not settled yet. */
+  /** Turns that drew on the allowance and are not settled yet. */
   unsettledTurns: number;
 }
 
@@ -16,8 +16,8 @@
   private readonly allowances = createLruMap<string, Allowance>(MAX_PROGRAMS);
 
   /**
-   * Takes over what the ledger granted. While turns are unsettled the ledger may not know of them,
-   * so its figure is left alone until they are.
+   * Stores the allowance that the ledger granted. Ignored while turns are unsettled, since the grant
+   * may not account for their draws.
    */
   update(program: string, grantedTokens: number): void {
     const known = this.allowances.get(program);
@@ -30,7 +30,7 @@
     return allowance !== undefined && mostTokens > 0 && allowance.availableTokens >= mostTokens;
   }
 
-  /** Takes a turn's most out of the allowance. @returns whether it was covered */
+  /** Draws a turn's maximum from the allowance. @returns whether the allowance covered it */
   take(program: string, mostTokens: number): boolean {
     if (!this.covers(program, mostTokens)) return false;
     const allowance = this.allowances.get(program)!;
@@ -39,13 +39,13 @@
     return true;
   }
 
-  /** The turn is over: what it did not spend may be taken again. */
+  /** Returns the tokens that a finished turn did not spend. */
   refund(program: string, unspentTokens: number): void {
     const allowance = this.allowances.get(program);
     if (allowance) allowance.availableTokens += Math.max(0, unspentTokens);
   }
 
-  /** The ledger has taken note of one turn. */
+  /** Records that the ledger committed the settlement of one turn. */
   confirm(program: string): void {
     const allowance = this.allowances.get(program);
     if (allowance) allowance.unsettledTurns -= 1;
--- a/src/ledger/history-reader.test.ts
+++ b/src/ledger/history-reader.test.ts
@@ -1,7 +1,4 @@
-/**
- * Every turn that came through another gateway than the one before it had its whole history sent by the
- * ledger's leader: 1 to 2.4 MB/s of the 5.9 MB/s of its link on a busy day, on which commits waited.
- */
+/** Histories must be read from followers, since sending them from the leader delays commits on its link. */
 import { describe, expect, it } from 'vitest';
 import {
   KEPT_HISTORY,
@@ -31,7 +28,7 @@
     return callLeader(groups, LEDGER_GROUP, RESERVE, request, LIMITS);
   }
 
-  it('is read at a follower that the leader names, and not sent by the leader', async () => {
+  it('is read from a follower that the leader lists', async () => {
     const { ledger, groups } = await startLedger();
     const { outcome, history, historySource } = await reserve(groups, true);
     expect({ outcome, history }).toEqual({ outcome: 'granted', history: undefined });
@@ -43,7 +40,7 @@
     expect(ledger.sentBy(false)).toBe(KEPT_HISTORY.length);
   });
 
-  it('is sent by the leader to one who asks it for that, as where no follower can give it', async () => {
+  it('is sent by the leader on request after no follower returned it', async () => {
     const { ledger, groups } = await startLedger();
     await ledger.loseAtFollowers();
     const { historySource } = await reserve(groups, true);
@@ -67,14 +64,14 @@
     return answer.history;
   }
 
-  it('brings the history from a follower, and not from the leader', async () => {
+  it('reads the history from a follower, and not from the leader', async () => {
     const { ledger, groups } = await startLedger();
     expect(Buffer.from((await reserveAsGateway(ledger, groups))!)).toEqual(KEPT_HISTORY);
     expect(ledger.sentBy(true)).toBe(0);
     expect(ledger.sentBy(false)).toBe(KEPT_HISTORY.length);
   });
 
-  it('brings it from the leader where no follower can give it', async () => {
+  it('reads the history from the leader if no follower holds it', async () => {
     const { ledger, groups } = await startLedger();
     await ledger.loseAtFollowers();
     expect(Buffer.from((await reserveAsGateway(ledger, groups))!)).toEqual(KEPT_HISTORY);
--- a/src/ledger/history-reader.ts
+++ b/src/ledger/history-reader.ts
@@ -1,6 +1,6 @@
 /**
- * Reads at other members what a turn continues from. A history is many times the size of all else in an
- * answer; the leader's link, on which every commit waits, is spared it.
+ * Reads the history of a turn from followers. Histories are much larger than the rest of a response;
+ * sending them from the leader would slow down commits, which share its link.
  */
 import { LedgegaugeError, describeError, monotonicMs } from '../common/index.js';
 import type { PeerDirectory } from '../consensus/index.js';
@@ -8,18 +8,18 @@
 import { type HistorySource, READ_HISTORY } from './messages.js';
 
 /**
- * How long a member may take to be reached and to answer, in milliseconds: as long as the leader may
- * over a reservation before others are asked.
+ * Timeouts for connecting to a member and for its response, in milliseconds; equal to the timeout of
+ * one reservation attempt.
  */
-const READ_LIMITS = { connectMs: 250, timeoutMs: 250 };
+const READ_TIMEOUTS = { connectMs: 250, timeoutMs: 250 };
 
-/** A history, and the member that gave it. */
+/** A history and the member that returned it. */
 export interface HistoryReadResult {
   history: Uint8Array;
   address: string;
 }
 
-/** No member that was named gave the history; the reservation stands. */
+/** None of the listed members returned the history; the reservation remains valid. */
 export class HistoryNotReadError extends LedgegaugeError {}
 
 export class HistoryReader {
@@ -29,8 +29,8 @@
   ) {}
 
   /**
-   * @param limitMs after which no further member is asked, in milliseconds
-   * @throws HistoryNotReadError when no member gave it
+   * @param limitMs time after which no further member is tried, in milliseconds
+   * @throws HistoryNotReadError when no member returned the history
    */
   async read(
     turn: string,
@@ -43,7 +43,7 @@
       const history = await this.readAt(address, turn, atIndex);
       if (history) return { history, address };
     }
-    throw new HistoryNotReadError(`${addresses.length} members did not give it`, {
+    throw new HistoryNotReadError(`none of ${addresses.length} members returned the history`, {
       step: READ_HISTORY.name,
       retriable: true,
     });
@@ -60,7 +60,7 @@
         address,
         READ_HISTORY,
         request,
-        READ_LIMITS,
+        READ_TIMEOUTS,
       );
       return answer.history;
     } catch (error) {
--- a/src/ledger/history-retry.test.ts
+++ b/src/ledger/history-retry.test.ts
@@ -1,7 +1,6 @@
 /**
- * A turn was reserved, none of the members that the leader named gave what it continues from, and the second
- * question, for the history alone, found no room. The turn was then said not to be reserved, so that nothing was
- * settled: its tokens stayed set aside, and later turns of its program could find the budget spent.
+ * If the retry for the history of a reserved turn is rejected by the window, the error must not claim that the turn
+ * is not reserved. Otherwise it would never be settled and its tokens would stay reserved.
  */
 import { expect, it } from 'vitest';
 import { sleep } from '../common/index.js';
@@ -17,7 +16,7 @@
 const SLOW_MS = 1_500;
 const OTHERS = 20;
 
-it('a turn that was reserved is never said not to be', async () => {
+it('does not report a reserved turn as not reserved', async () => {
   const granted = new Set<string>();
   let isSlow = false;
   const peers: PeerCaller = {
@@ -39,7 +38,10 @@
   const histories = {
     read: async () => {
       await sleep(500);
-      throw new HistoryNotReadError('2 members did not give it', { step: 'test', retriable: true });
+      throw new HistoryNotReadError('none of 2 members returned the history', {
+        step: 'test',
+        retriable: true,
+      });
     },
   } as unknown as HistoryReader;
   const groups = new GroupClient({ peers, addresses: ['m1'] });
--- a/src/ledger/identity-power-loss.test.ts
+++ b/src/ledger/identity-power-loss.test.ts
@@ -1,6 +1,6 @@
 /**
- * A member's identity on a simulated disk: a process is killed at each of its operations, and the machine loses its power
- * at each operation of the process after it. What a start has handed out, other members know.
+ * A member's identity must survive a process kill followed by a power failure, at every pair of disk operations,
+ * since other members already know an identity that was returned.
  */
 import { join } from 'node:path';
 import { describe, expect, it, vi } from 'vitest';
@@ -12,13 +12,13 @@
   return withSimulatedDisks(await importOriginal());
 });
 
-/** More operations than a process has that makes its identity and changes it once. */
+/** More disk operations than creating an identity and changing it once take. */
 const OPERATIONS = 26;
 
 interface KnownIdentity {
-  /** What was found or saved last. */
+  /** The identity that was found or saved last. */
   current: Identity;
-  /** What was being saved, and may be there or not. */
+  /** The identity whose save may not have completed. */
   next?: Identity;
 }
 
@@ -30,7 +30,7 @@
     this.disk = new SimulatedDisk('identity', { seed, nameDurability });
   }
 
-  /** @returns what was wrong; undefined when nothing was */
+  /** @returns a description of the failure, if any */
   async play(killAt: number, powerLossAt: number): Promise<string | undefined> {
     await this.runProcess(killAt);
     await this.runProcess(powerLossAt);
@@ -38,7 +38,7 @@
     const found = await this.open();
     if (this.allows(found)) return undefined;
     const wanted = JSON.stringify(this.known);
-    return `${killAt}, ${powerLossAt}: ${JSON.stringify(found.identity)} in place of ${wanted}`;
+    return `${killAt}, ${powerLossAt}: ${JSON.stringify(found.identity)} instead of ${wanted}`;
   }
 
   private async open(killAt = Number.POSITIVE_INFINITY): Promise<IdentityStore> {
@@ -76,7 +76,7 @@
 
 describe('an identity', () => {
   it.each<NameDurability>(['file-sync', 'folder-sync-only'])(
-    'stays what a start has found, over a kill and then a loss of power at any operations (%s)',
+    'is unchanged after a kill and a power failure at any operations (%s)',
     async (nameDurability) => {
       const failures: string[] = [];
       for (let killAt = 1; killAt <= OPERATIONS; killAt += 1) {
--- a/src/ledger/index.ts
+++ b/src/ledger/index.ts
@@ -1,4 +1,4 @@
-/** The ledger: what programs may still spend, and the turns that later turns continue. */
+/** The ledger: token budgets of programs, and kept turns that later turns can continue. */
 export * from './ledger-commands.js';
 export { TurnHistoryCache } from './history-cache.js';
 export { LedgerClient } from './ledger-client.js';
--- a/src/ledger/kept-turn-index-memory.test.ts
+++ b/src/ledger/kept-turn-index-memory.test.ts
@@ -1,4 +1,4 @@
-/** What kept turns take of a process's memory, whatever was said in them. */
+/** Memory use of the kept turn index. */
 import { expect, it, onTestFinished } from 'vitest';
 import { usedBytes } from '../../lab/slopes/used-bytes.js';
 import { temporaryFolder } from '../../tests/support/temporary-folder.js';
@@ -10,10 +10,10 @@
 const TURNS = 12_000;
 const TURN_BYTES = 8_000;
 const CACHE_BYTES = 2 * MIB;
-/** Index and location of a turn in the heap: 300 were measured on Node 20. */
-const MOST_BYTES_A_TURN = 450;
+/** Index entry and value location of a turn on the heap. */
+const MAX_BYTES_PER_TURN = 450;
 
-it('grows by an index entry a turn, not by what was said', { timeout: 60_000 }, async () => {
+it('grows by an index entry per turn, not by its value', { timeout: 60_000 }, async () => {
   const values = await ValueStore.open({
     folder: await openStoreFolder(temporaryFolder()),
     logger: createLogger({ test: 'memory' }),
@@ -32,7 +32,7 @@
   }
   await values.sync();
   const grownBy = (await usedBytes()) - before - CACHE_BYTES;
-  expect(grownBy / TURNS).toBeLessThan(MOST_BYTES_A_TURN);
+  expect(grownBy / TURNS).toBeLessThan(MAX_BYTES_PER_TURN);
   const chain = turns.chain(idOf(9))!;
   expect(chain).toHaveLength(10);
   expect((await values.get(chain[3]!))?.subarray(0, 2)).toEqual(Buffer.from([3, 3]));
--- a/src/ledger/kept-turn-index.ts
+++ b/src/ledger/kept-turn-index.ts
@@ -1,6 +1,6 @@
 /**
- * The index of the turns that are kept for later ones, each linked to the turn it continued. Their
- * inputs and outputs are values on this member's disk.
+ * Index of the kept turns, each linked to the turn that it continued. Their inputs and outputs are
+ * values in this member's value store.
  */
 import { type KeptTurn, type KeptTurnReference, hasInlineValue } from './ledger-commands.js';
 import type { TurnValueStore } from './turn-value-store.js';
@@ -9,19 +9,19 @@
 interface IndexedTurn {
   previousTurn: string | undefined;
   expiresAtMs: number;
-  /** Log index of the entry that brought it; 0 when a snapshot did. */
+  /** Log index of the entry that added the turn; 0 if it came from a snapshot. */
   keptAtIndex: number;
 }
 
-/** One turn of a snapshot; the order of the fields is the format. */
+/** One turn of a snapshot. The field order is part of the format. */
 export type EncodedTurn = [id: string, previousTurn: string | null, expiresAtMs: number];
 
 export class KeptTurnIndex {
   private turns = new Map<string, IndexedTurn>();
-  /** After a restore the store may hold values of turns that the state does not name. */
-  private mayHoldOthers = true;
+  /** Whether the store may hold values that no turn refers to, as after a restore. */
+  private mayHoldOrphans = true;
 
-  /** Values that no turn of the state names yet. */
+  /** Values that no turn of the state refers to yet. */
   readonly unreferenced = new UnreferencedValues();
 
   constructor(private readonly values: TurnValueStore) {}
@@ -34,21 +34,21 @@
     return this.turns.has(id);
   }
 
-  /** Turns that the state names and whose values are not held here. */
+  /** Number of kept turns whose values are missing on this member. */
   countWithoutValue(): number {
     let count = 0;
     for (const id of this.turns.keys()) if (!this.values.has(id)) count += 1;
     return count;
   }
 
-  /** Log index from which on the state names a turn; undefined when it is not kept. */
+  /** Log index of the entry that added a turn; undefined if the turn is not kept. */
   keptAtIndex(id: string): number | undefined {
     return this.turns.get(id)?.keptAtIndex;
   }
 
   /**
-   * Keeps a turn, and its whole chain for at least as long.
-   * @param keptAtIndex log index of the entry that brings it
+   * Adds a turn and extends the retention of its whole chain to at least that of the turn.
+   * @param keptAtIndex log index of the entry that adds the turn
    */
   keep(id: string, turn: KeptTurn | KeptTurnReference, nowMs: number, keptAtIndex = 0): void {
     this.unreferenced.markApplied(id, keptAtIndex);
@@ -60,7 +60,7 @@
     this.extendChain(previousTurn, expiresAtMs);
   }
 
-  /** A turn and all that it continues, oldest first; undefined when a link is missing. */
+  /** Ids of a turn and its predecessors, oldest first; undefined if one of them is not kept. */
   chain(id: string): string[] | undefined {
     const ids: string[] = [];
     let next: string | undefined = id;
@@ -73,7 +73,7 @@
     return ids.reverse();
   }
 
-  /** @param appliedIndex log index up to which the state is applied */
+  /** @param appliedIndex log index of the last applied entry */
   expire(nowMs: number, appliedIndex: number): void {
     for (const id of this.unreferenced.expire(appliedIndex)) {
       if (!this.turns.has(id)) this.values.delete(id);
@@ -81,15 +81,15 @@
     for (const [id, turn] of this.turns) {
       if (turn.expiresAtMs >= nowMs) continue;
       this.turns.delete(id);
-      // A turn that was settled again is named by an entry that is still to be applied.
+      // A turn that was settled again is referenced by an entry that is not applied yet.
       if (!this.unreferenced.has(id)) this.values.delete(id);
     }
-    if (!this.mayHoldOthers) return;
-    this.mayHoldOthers = false;
+    if (!this.mayHoldOrphans) return;
+    this.mayHoldOrphans = false;
     this.values.retain((id) => this.turns.has(id) || this.unreferenced.has(id));
   }
 
-  /** All turns as they are now, encoded in groups of `groupSize` as they are asked for. */
+  /** Copies the index, and encodes the copy lazily in groups of `groupSize` turns. */
   encode(groupSize: number): Iterable<EncodedTurn[]> {
     const ids = [...this.turns.keys()];
     const previous = [...this.turns.values()].map(({ previousTurn }) => previousTurn);
@@ -105,7 +105,7 @@
       ]),
     );
     for (const id of this.turns.keys()) this.unreferenced.markApplied(id, Number.POSITIVE_INFINITY);
-    this.mayHoldOthers = true;
+    this.mayHoldOrphans = true;
   }
 
   private extendChain(id: string | undefined, expiresAtMs: number): void {
@@ -119,12 +119,12 @@
   }
 }
 
-/** A turn's value: its input followed by its output. */
+/** Encodes a turn's value: its input followed by its output. */
 export function encodeTurnValue({ input, output }: KeptTurn): Buffer {
   return Buffer.concat([input, output]);
 }
 
-/** Columns in place of objects, so that a snapshot of a large index takes little memory. */
+/** Column layout, which limits the memory that a snapshot of a large index takes. */
 interface TurnColumns {
   ids: readonly string[];
   previous: readonly (string | undefined)[];
--- a/src/ledger/kept-turn-load.test.ts
+++ b/src/ledger/kept-turn-load.test.ts
@@ -1,12 +1,4 @@
-/**
- * The ledger's leader sent each kept turn to four voters. On a day with a burst of six seconds it carried 4 to 5
- * MB/s of copies on a link of 5.9 MB/s from then to the end of the day, whatever was asked of it: 128 KiB that are
- * under way take 114 ms of such a link at four copies, so commits took 83 to 140 ms in place of 20, every turn
- * waited for two of them, and what could not be taken was asked for again. Hardly a program ended in time, 25 s
- * after the burst was over.
- *
- *     member load: leads, commands 742, gateMs 60, commitMs 103, refused 241, windowKb 128, voterKb 4867, loopBusy 0.65
- */
+/** A burst of kept turns must not saturate the leader's link, which would delay commits long after the burst. */
 import { expect, it, vi } from 'vitest';
 import {
   BURST_PER_SECOND,
@@ -23,7 +15,7 @@
 
 const SEED = 1;
 
-it('keeps turns in time in a burst and after it that reach the leader over half of its link', async () => {
+it('settles kept turns in time during and after a burst that takes half of the leader link', async () => {
   simulateTime(SEED);
   const { ledger, links } = await startMeteredLedger();
   const leader = (await ledger.cluster.waitLeader()).member.address;
@@ -33,35 +25,31 @@
   const burstAt = monotonicMs();
   const sentBefore = links.sentBy(leader);
   await load.send(BURST_PER_SECOND, 4_000);
-  const overAt = monotonicMs();
+  const burstEndAt = monotonicMs();
   const burstBytes = links.sentBy(leader) - sentBefore;
   await load.send(ORDINARY_PER_SECOND, 4_000);
   const endedAt = monotonicMs();
   await load.finish();
   expect.soft(load.inTimeBetween(startedAt, burstAt)).toBeGreaterThan(0.95);
-  expect.soft(load.inTimeBetween(burstAt, overAt)).toBeGreaterThan(0.95);
-  expect.soft(burstBytes / load.keptBytesBetween(burstAt, overAt)).toBeLessThan(1);
-  expect.soft(load.inTimeBetween(overAt + RECOVERY_MS, endedAt)).toBeGreaterThan(0.99);
+  expect.soft(load.inTimeBetween(burstAt, burstEndAt)).toBeGreaterThan(0.95);
+  expect.soft(burstBytes / load.keptBytesBetween(burstAt, burstEndAt)).toBeLessThan(1);
+  expect.soft(load.inTimeBetween(burstEndAt + RECOVERY_MS, endedAt)).toBeGreaterThan(0.99);
 });
 
-/**
- * Two members that had lost their disks emptied the same member first, which may be the leader, while every
- * turn waited for commits on its link: reservations took 80 to 150 ms for fifteen seconds, and 30 again in the
- * second in which both were whole.
- */
-it('keeps turns in time while two members that lost their disks fetch what was kept', async () => {
+/** Members that recover their values must not fetch them all from one member, whose link also carries commits. */
+it('settles kept turns in time while two replaced members fetch their values', async () => {
   simulateTime(SEED);
   const { ledger } = await startMeteredLedger();
   const load = new KeptLoad(ledger);
   await load.send(ORDINARY_PER_SECOND, 4_000);
   const lostAt = monotonicMs();
-  const renewing = ledger.replaceTwoFollowers();
+  const replacing = ledger.replaceTwoFollowers();
   await load.send(ORDINARY_PER_SECOND, 5_000);
   const endedAt = monotonicMs();
   await load.finish();
-  const renewed = await renewing;
+  const replaced = await replacing;
   expect.soft(load.inTimeBetween(lostAt, endedAt)).toBeGreaterThan(0.95);
-  for (const id of renewed) {
+  for (const id of replaced) {
     await waitUntil('whole', () => ledger.holdsValue(id, 't1') && ledger.holdsValue(id, 't600'));
   }
 });
--- a/src/ledger/kept-turns-power-loss.test.ts
+++ b/src/ledger/kept-turns-power-loss.test.ts
@@ -1,6 +1,6 @@
 /**
- * The ledger's group over drawn schedules of killed processes, losses of power and lost disks: every turn whose
- * keeping was acknowledged can be continued once all members are back, and no token that was spent is forgotten.
+ * Randomized kills, power failures and disk losses of the ledger's group: every acknowledged kept turn must be readable
+ * once all members are back, and no spent tokens may be missing.
  */
 import { setImmediate } from 'node:timers/promises';
 import { describe, expect, it, vi } from 'vitest';
@@ -20,22 +20,22 @@
   return withSimulatedDisks(await importOriginal());
 });
 
-/** How long the group may take, once its members are back, to commit and to give every history. */
+/** Maximum time in which the group must commit and serve all histories after its members are back. */
 const RECOVERY_BOUND_MS = 12_000;
 const WRITERS = 4;
-/** Histories that are asked for at the same time: all at once would be a test of overload. */
-const READ_TOGETHER = 100;
-const MOST_BLOWS = 4;
+/** Number of histories read concurrently, limited to avoid overload. */
+const READ_CONCURRENCY = 100;
+const MAX_FAULT_EVENTS = 4;
 const SCHEDULES = 12;
-const PLAYED_TOGETHER = 12;
-/** Longest time that the members work undisturbed before a blow, in milliseconds. */
-const LONGEST_CALM_MS = 300;
-/** A process dies at an operation of its disk that far ahead at most. */
-const MOST_OPERATIONS_AHEAD = 30;
+const SCHEDULE_CONCURRENCY = 12;
+/** Maximum time without faults between two events, in milliseconds. */
+const MAX_QUIET_MS = 300;
+/** Maximum number of disk operations until a scheduled kill. */
+const MAX_OPERATIONS_AHEAD = 30;
 const SHORT_ABSENCE_MS = 150;
-/** The others make snapshots meanwhile, so that the member is sent one. */
+/** Long enough for the other members to take a snapshot, so that the member receives one. */
 const LONG_ABSENCE_MS = 600;
-/** By so much the ledger's clock is ahead after each blow: beyond the life of turns that are over soon. */
+/** Advance of the ledger's clock after each event, beyond the retention of short-lived turns, in milliseconds. */
 const CLOCK_STEP_MS = 12_000;
 
 const TIMING: ConsensusOptions = {
@@ -47,35 +47,35 @@
 
 type Fault = 'kill' | 'power' | 'disk';
 
-/** What happens to each member at one moment; undefined for those that are spared. */
-type Blow = readonly (Fault | undefined)[];
+/** Simultaneous faults by member; undefined for members without a fault. */
+type FaultEvent = readonly (Fault | undefined)[];
 
 const MEMBERS = [0, 1, 2];
 
-function strikeOne(random: SeededRandom, one: Fault, others?: Fault): Blow {
-  const struck = random.pick(MEMBERS);
-  return MEMBERS.map((index) => (index === struck ? one : others));
+function faultOne(random: SeededRandom, one: Fault, others?: Fault): FaultEvent {
+  const target = random.pick(MEMBERS);
+  return MEMBERS.map((index) => (index === target ? one : others));
 }
 
-function strikeAll(fault: Fault): Blow {
+function faultAll(fault: Fault): FaultEvent {
   return MEMBERS.map(() => fault);
 }
 
-/** Processes die or machines lose power; no disk is lost. */
-function drawMildBlow(random: SeededRandom): Blow {
+/** Draws kills and power failures, without disk losses. */
+function drawEventWithoutDiskLoss(random: SeededRandom): FaultEvent {
   const kinds = [
-    () => strikeOne(random, 'kill'),
-    () => strikeOne(random, 'power'),
-    () => strikeOne(random, 'kill', 'power'),
-    () => strikeAll('kill'),
-    () => strikeAll('power'),
+    () => faultOne(random, 'kill'),
+    () => faultOne(random, 'power'),
+    () => faultOne(random, 'kill', 'power'),
+    () => faultAll('kill'),
+    () => faultAll('power'),
   ];
   return random.pick(kinds)();
 }
 
-function drawBlow(random: SeededRandom): Blow {
-  if (random.chance(0.6)) return drawMildBlow(random);
-  return strikeOne(random, 'disk', random.pick(['power', 'power', 'kill', undefined]));
+function drawEvent(random: SeededRandom): FaultEvent {
+  if (random.chance(0.6)) return drawEventWithoutDiskLoss(random);
+  return faultOne(random, 'disk', random.pick(['power', 'power', 'kill', undefined]));
 }
 
 class Schedule {
@@ -107,16 +107,16 @@
     });
   }
 
-  /** @returns everything that went wrong */
+  /** @returns descriptions of all failures */
   async play(): Promise<string[]> {
     const { cluster, writers, random } = this;
     try {
       await cluster.found();
       for (const writer of writers) writer.start();
-      const blows = random.integer(2, MOST_BLOWS);
-      for (let count = 0; count < blows; count += 1) {
-        await sleep(random.integer(0, LONGEST_CALM_MS));
-        await this.strike(drawBlow(random));
+      const eventCount = random.integer(2, MAX_FAULT_EVENTS);
+      for (let count = 0; count < eventCount; count += 1) {
+        await sleep(random.integer(0, MAX_QUIET_MS));
+        await this.applyAndRecover(drawEvent(random));
       }
       await Promise.all(writers.map((writer) => writer.stop()));
       return [...cluster.faults, ...(await this.findLosses())];
@@ -128,86 +128,86 @@
     }
   }
 
-  private async strike(blow: Blow): Promise<void> {
+  private async applyAndRecover(event: FaultEvent): Promise<void> {
     const { cluster, random } = this;
-    await this.hitAll(blow);
-    // While members come back, and a new one is taken in, more may happen, but no other disk may go.
-    if (random.chance(0.3)) await this.hitAgain();
-    await this.bringAllBack();
-    if (blow.includes('disk')) {
-      if (random.chance(0.4)) await this.hitAgain();
-      await this.bringAllBack();
+    await this.applyEvent(event);
+    // Further faults may occur during recovery, but no second disk loss.
+    if (random.chance(0.3)) await this.applyDuringRecovery();
+    await this.restartAll();
+    if (event.includes('disk')) {
+      if (random.chance(0.4)) await this.applyDuringRecovery();
+      await this.restartAll();
       await waitUntil('whole again', () => cluster.isWhole, RECOVERY_BOUND_MS);
     }
-    await this.passTime();
+    await this.advanceLedgerClock();
   }
 
-  private async hitAgain(): Promise<void> {
+  private async applyDuringRecovery(): Promise<void> {
     const { random, cluster } = this;
     const back = MEMBERS.filter((index) => !cluster.disks[index]!.isAlive && random.chance(0.7));
     for (const index of back) void cluster.start(index);
-    await sleep(random.integer(0, LONGEST_CALM_MS));
-    await this.hitAll(drawMildBlow(random));
+    await sleep(random.integer(0, MAX_QUIET_MS));
+    await this.applyEvent(drawEventWithoutDiskLoss(random));
   }
 
-  private async hitAll(blow: Blow): Promise<void> {
-    this.cluster.note(`blow ${blow.map((fault) => fault ?? 'none').join(' ')}`);
-    const waits = [() => this.waitOperations(blow), () => this.waitAcknowledgement(), undefined];
+  private async applyEvent(event: FaultEvent): Promise<void> {
+    this.cluster.note(`blow ${event.map((fault) => fault ?? 'none').join(' ')}`);
+    const waits = [() => this.waitOperations(event), () => this.waitAcknowledgement(), undefined];
     await this.random.pick(waits)?.();
-    for (const [index, fault] of blow.entries()) {
-      if (fault) this.hit(index, fault);
+    for (const [index, fault] of event.entries()) {
+      if (fault) this.applyFault(index, fault);
     }
   }
 
-  private async bringAllBack(): Promise<void> {
+  private async restartAll(): Promise<void> {
     const { cluster, random } = this;
     const absenceMs = random.chance(0.3) ? LONG_ABSENCE_MS : SHORT_ABSENCE_MS;
-    const away = MEMBERS.filter((index) => !cluster.disks[index]!.isAlive);
+    const stopped = MEMBERS.filter((index) => !cluster.disks[index]!.isAlive);
     await Promise.all(
-      away.map(async (index) => {
+      stopped.map(async (index) => {
         await sleep(random.integer(0, absenceMs));
         await cluster.start(index);
       }),
     );
-    await this.waitServing();
+    await this.waitUntilServing();
   }
 
-  /** Ends the life of turns that are over soon, and with it whole segments of values. */
-  private async passTime(): Promise<void> {
+  /** Expires short-lived turns, and with them whole segments of values. */
+  private async advanceLedgerClock(): Promise<void> {
     const { group, process } = this.cluster.leader ?? {};
     if (!group || !process) return;
     const nowMs = process.stateMachine.clockMs + CLOCK_STEP_MS;
     const command: SettleCommand = { kind: 'settle', settlements: [], nowMs };
-    // Without a leader time passes at the next one.
+    // Without a leader the clock advances with the next event.
     await group.propose(encodeValue(command)).catch(() => undefined);
   }
 
-  /** Lets one of those that are to be hit die in the middle of its work, the others at that moment. */
-  private async waitOperations(blow: Blow): Promise<void> {
-    const index = blow.findIndex((fault) => fault !== undefined);
+  /** Schedules a kill of one affected member at a disk operation, and waits for it before the other faults. */
+  private async waitOperations(event: FaultEvent): Promise<void> {
+    const index = event.findIndex((fault) => fault !== undefined);
     const disk = this.cluster.disks[index]!;
-    disk.killAt = disk.operations.length + this.random.integer(1, MOST_OPERATIONS_AHEAD);
-    const deadline = monotonicMs() + LONGEST_CALM_MS;
+    disk.killAt = disk.operations.length + this.random.integer(1, MAX_OPERATIONS_AHEAD);
+    const deadline = monotonicMs() + MAX_QUIET_MS;
     while (disk.isAlive && monotonicMs() < deadline) await sleep(0);
   }
 
-  /** The moment after an acknowledgement is the first in which a turn must not be lost. */
+  /** Waits for an acknowledgement, after which a turn must not be lost. */
   private async waitAcknowledgement(): Promise<void> {
     const acknowledgements = (): number =>
       this.writers.reduce((sum, { acknowledgements }) => sum + acknowledgements, 0);
     const before = acknowledgements();
-    const deadline = monotonicMs() + LONGEST_CALM_MS;
+    const deadline = monotonicMs() + MAX_QUIET_MS;
     while (acknowledgements() === before && monotonicMs() < deadline) await setImmediate();
   }
 
-  private hit(index: number, fault: Fault): void {
+  private applyFault(index: number, fault: Fault): void {
     const disk = this.cluster.disks[index]!;
     if (fault === 'kill') disk.kill();
     else if (fault === 'power') disk.losePower();
     else disk.replaceByEmpty();
   }
 
-  private async waitServing(): Promise<void> {
+  private async waitUntilServing(): Promise<void> {
     const { cluster } = this;
     const index = (): number => cluster.leader?.group.commitIndex ?? 0;
     await waitUntil('all serve', () => cluster.serving.length === 3, RECOVERY_BOUND_MS);
@@ -220,20 +220,20 @@
     const reader = this.cluster.createClient('reader');
     const kept = this.writers.flatMap(({ acknowledged }) => acknowledged);
     const problems: (string | undefined)[] = [];
-    for (let first = 0; first < kept.length; first += READ_TOGETHER) {
+    for (let first = 0; first < kept.length; first += READ_CONCURRENCY) {
       const deadline = monotonicMs() + RECOVERY_BOUND_MS;
-      const group = kept.slice(first, first + READ_TOGETHER);
+      const group = kept.slice(first, first + READ_CONCURRENCY);
       const read = group.map((chain) => readUntilRight(reader, chain, deadline));
       problems.push(...(await Promise.all(read)));
-      // Once a part of them is lost, the others need not be waited for one by one.
+      // After the first loss the remaining histories are not checked.
       if (problems.some((problem) => problem !== undefined)) break;
     }
     const lost = problems.filter((problem) => problem !== undefined);
     const report = lost.length > 0 ? [`${lost.length} of ${problems.length} lost, ${lost[0]}`] : [];
-    return [...report, ...this.findForgottenTokens()];
+    return [...report, ...this.findMissingTokens()];
   }
 
-  private findForgottenTokens(): string[] {
+  private findMissingTokens(): string[] {
     const budgets = this.cluster.leader?.process.stateMachine.budgets;
     return this.writers.flatMap(({ spentTokens }) =>
       [...spentTokens].flatMap(([program, tokens]) => {
@@ -249,7 +249,7 @@
     const failures: string[] = [];
     const seeds = fuzzSeeds([], SCHEDULES);
     while (seeds.length > 0) {
-      const together = seeds.splice(0, PLAYED_TOGETHER).map((seed) => new Schedule(seed));
+      const together = seeds.splice(0, SCHEDULE_CONCURRENCY).map((seed) => new Schedule(seed));
       const found = await Promise.all(together.map((schedule) => schedule.play()));
       for (const [place, problems] of found.entries()) {
         if (problems.length === 0) continue;
--- a/src/ledger/lagging-member-power-loss.test.ts
+++ b/src/ledger/lagging-member-power-loss.test.ts
@@ -1,4 +1,4 @@
-/** A member that was away while turns were kept and went, and is needed for the next commit. */
+/** Recovery of a lagging member that missed kept turns and their expiry, and is needed for the next commit. */
 import { describe, expect, it } from 'vitest';
 import { MemoryValues } from '../../tests/support/memory-values.js';
 import type { Member } from '../consensus/index.js';
@@ -11,10 +11,10 @@
 
 const LEADER: Member = { id: 'leader-id', name: 'leader', address: 'leader', role: 'voter' };
 const SHORT_RETENTION_MS = 1_000;
-/** Turns that are kept for so short a time are over by then. */
+/** Time at which turns with the short retention have expired. */
 const LATER_MS = 60_000;
-/** A leader sends the same entries again where it got no answer. */
-const TRIES = 3;
+/** A leader resends entries that were not acknowledged. */
+const ATTEMPTS = 3;
 
 function createState(
   readTurnsAt: (request: ReadTurnsRequest) => Promise<ReadTurnsResponse>,
@@ -37,13 +37,13 @@
   return { index, term: 1, kind: 'command', data: encodeValue(command) };
 }
 
-async function isTaken(state: LedgerStateMachine, entries: LogEntry[]): Promise<boolean> {
-  for (let count = 0; count < TRIES; count += 1) {
+async function isAccepted(state: LedgerStateMachine, entries: LogEntry[]): Promise<boolean> {
+  for (let count = 0; count < ATTEMPTS; count += 1) {
     try {
       await state.external.attach(entries, [LEADER], false);
       return true;
     } catch {
-      // Sent again.
+      // Retried.
     }
   }
   return false;
@@ -51,36 +51,32 @@
 
 describe('a member that was away', () => {
   /**
-   * One of three members was away while the other two kept turns, some of which were over by the time it came back;
-   * then another lost its disk. The leader sent it all that it lacked in one go, with an entry at the end that nothing
-   * could commit without it. It asked for the values as of that last entry, which the leader had not applied, so that the
-   * leader didn't say which turns were over: `kept turns fetched {"asked":16,"missing":16}` once a second, and no
-   * commit any more, though the leader's state had let these turns go.
+   * The batch contains entries whose turns have expired and an uncommitted entry. A fetch as of the uncommitted entry
+   * gets no report of expired turns, since the leader has not applied it, and would block all commits.
    */
   it('takes entries that name turns which are over, together with one that waits for its commit', async () => {
     const kept = settle(5, 0, ['over']);
     const sweeping = settle(6, LATER_MS, []);
     const uncommitted = settle(7, LATER_MS, ['new']);
-    const leader = createState(() => Promise.reject(new Error('the leader asks nobody')));
+    const leader = createState(() => Promise.reject(new Error('the leader sends no requests')));
     for (const { data, index } of [kept, sweeping]) leader.apply(data, index);
     await leader.external.storeValues(new Map([['new', Buffer.from('value')]]));
     const follower = createState(async (request) => {
-      const isStateLateEnough = request.atIndex !== undefined && request.atIndex <= sweeping.index;
-      return leader.external.answer(request, isStateLateEnough);
+      const isStateRecentEnough =
+        request.atIndex !== undefined && request.atIndex <= sweeping.index;
+      return leader.external.answer(request, isStateRecentEnough);
     });
-    expect(await isTaken(follower, [kept, sweeping, uncommitted])).toBe(true);
+    expect(await isAccepted(follower, [kept, sweeping, uncommitted])).toBe(true);
   });
 });
 
 describe('a turn that is settled again when its first keeping is just over', () => {
   /**
-   * A gateway that got no answer settled a turn again. The second entry was in the log, and not applied, when a command
-   * before it ended the first keeping: the value was dropped with it, though the second entry names it. Whoever asked
-   * for it then got it from nobody, and once the entry was applied the state kept a turn without a value. What drawn
-   * schedules showed fits this: a new member asked for a few values for good, which were over in nobody's state yet.
+   * A gateway retried a settlement. When the first keep expires, the value must not be deleted, since an unapplied log
+   * entry of the retry refers to it.
    */
   it('has its value for as long as an entry of the log names it', async () => {
-    const state = createState(() => Promise.reject(new Error('nobody else has it')));
+    const state = createState(() => Promise.reject(new Error('no other member has it')));
     const { external } = state;
     const value = Buffer.from('value');
     const kept = settle(5, 0, ['turn']);
@@ -101,16 +97,14 @@
 
 describe('a member that came back to a snapshot older than the end of some turns', () => {
   /**
-   * All three members lost their power and one its disk, while another lagged so far behind that it needed a snapshot.
-   * The leader's latest snapshot named fifteen turns that had been over when the power went: their values had left the
-   * disk with the command that ended them, which the leader may not apply again before the lagging member has caught up.
-   * So that one asked for them for good, `kept turns restored {"named":692,"missing":15}` at the leader, `kept turns
-   * fetched {"asked":105,"missing":105}` at the other, and the group of two committed nothing any more.
+   * After a power failure the leader restores a snapshot that refers to turns whose values it had already deleted. It
+   * cannot apply their expiry again until the lagging member has caught up, which must not wait for these values.
    */
   it('brings a member up to that snapshot that lags behind it', async () => {
-    const nobody = (): Promise<ReadTurnsResponse> => Promise.reject(new Error('nobody else runs'));
+    const noPeers = (): Promise<ReadTurnsResponse> =>
+      Promise.reject(new Error('no other member runs'));
     const values = new MemoryValues();
-    const before = createState(nobody, values);
+    const before = createState(noPeers, values);
     await before.external.storeValues(new Map([['over', Buffer.from('value')]]));
     const kept = settle(5, 0, ['over']);
     before.external.noteLogged([kept]);
@@ -118,7 +112,7 @@
     const state = Buffer.concat([...before.snapshot()]);
     const sweeping = settle(6, LATER_MS, []);
     before.apply(sweeping.data, sweeping.index);
-    const leader = createState(nobody, values);
+    const leader = createState(noPeers, values);
     leader.restore(state);
     const follower = createState(async (request) => {
       const answer = await leader.external.answer(request, true);
--- a/src/ledger/leader-history.test.ts
+++ b/src/ledger/leader-history.test.ts
@@ -1,7 +1,6 @@
 /**
- * A member came back, with the only copy of a history, while the leader was finding out who answers. It had not been
- * asked, since it was silent a moment before, and was taken for one that answers and lacks the history: the turn was
- * refused with "every member answers", a quarter of a second before it could have been served.
+ * A member that returns while the leader reads a history was not read from, and must count as unreachable. Otherwise
+ * the turn is refused although that member may hold the only copy.
  */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { monotonicMs, sleep } from '../common/index.js';
@@ -20,19 +19,19 @@
   return { id, name, address: name, role: 'voter' };
 }
 
-/** A group whose leader is `m1`, and no member of which holds the history. */
+/** A group with leader `m1`, in which no member holds the history. */
 class Group {
   readonly leadingSince = monotonicMs();
   readonly ownId = 'm1';
   readonly configuration = { members: [memberOf('m1'), memberOf('m2'), memberOf('m3')] };
-  /** Members whose heartbeats are answered. */
+  /** Members that respond to heartbeats. */
   readonly answering = new Set(['m2', 'm3']);
-  readonly asked: string[] = [];
+  readonly readFrom: string[] = [];
   private readonly contacts = new Map<string, number>();
 
   constructor() {
-    this.beat();
-    setInterval(() => this.beat(), HEARTBEAT_MS);
+    this.recordHeartbeats();
+    setInterval(() => this.recordHeartbeats(), HEARTBEAT_MS);
   }
 
   contactMsOf(id: string): number {
@@ -41,7 +40,7 @@
 
   async read(): Promise<LeaderHistory> {
     const read = async (_turn: string, sources: readonly Member[]): Promise<undefined> => {
-      this.asked.push(...sources.map(({ id }) => id));
+      this.readFrom.push(...sources.map(({ id }) => id));
       await sleep(READ_MS);
       throw new TurnValuesMissingError(REASON, { step: 'test' });
     };
@@ -51,7 +50,7 @@
     return answer;
   }
 
-  private beat(): void {
+  private recordHeartbeats(): void {
     for (const id of this.answering) this.contacts.set(id, monotonicMs());
   }
 }
@@ -62,24 +61,24 @@
   return group;
 }
 
-describe("a leader's answer on a history that is missing", () => {
-  it('says that every member answers where each was asked and is heard', async () => {
+describe("a leader's response for a missing history", () => {
+  it('reports no silent member if all were read from and are in contact', async () => {
     const group = await groupAfter(1_000);
     expect(await group.read()).toEqual({ missingHistory: { reason: REASON, silentMs: undefined } });
-    expect(group.asked).toEqual(['m2', 'm3']);
+    expect(group.readFrom).toEqual(['m2', 'm3']);
   });
 
-  it('says how long a member has been silent, and does not ask that one', async () => {
+  it('reports how long a member has been silent, and does not read from it', async () => {
     const group = await groupAfter(1_000);
     group.answering.delete('m3');
     await vi.advanceTimersByTimeAsync(2_000);
     const { missingHistory } = await group.read();
     expect(missingHistory!.silentMs).toBeGreaterThanOrEqual(2_000);
     expect(missingHistory!.silentMs).toBeLessThan(2_000 + 4 * HEARTBEAT_MS);
-    expect(group.asked).toEqual(['m2']);
+    expect(group.readFrom).toEqual(['m2']);
   });
 
-  it('counts a member as silent that has gone just now', async () => {
+  it('counts a member as silent that has just become unreachable', async () => {
     const group = await groupAfter(1_000);
     group.answering.delete('m3');
     const { missingHistory } = await group.read();
@@ -87,7 +86,7 @@
   });
 
   it.each([400, 2_000])(
-    'counts a member as silent that comes back after %i ms, too late',
+    'counts a member as silent that returns after %i ms, during the read',
     async (ms) => {
       const group = await groupAfter(1_000);
       group.answering.delete('m3');
@@ -98,7 +97,7 @@
     },
   );
 
-  it('does not count the identity of a member that has come back without its disk', async () => {
+  it('ignores the former id of a member that was replaced after a disk loss', async () => {
     const group = await groupAfter(1_000);
     group.answering.delete('m3');
     await vi.advanceTimersByTimeAsync(2_000);
--- a/src/ledger/ledger-client.test.ts
+++ b/src/ledger/ledger-client.test.ts
@@ -1,8 +1,6 @@
 /**
- * Gateways made an election of the ledger last: each turn that waited asked one member after the other every
- * few hundredths of a second, each with all settlements that had not been delivered, and whoever led
- * next began with the questions of seconds. Lines `reservation failed` named six members in turn, for
- * `not the leader` and `leading, but not current yet`, and a leader that was current lost its lead again.
+ * Waiting turns must not flood the members with requests during an election, which would overload the next leader and
+ * prolong the outage.
  */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { describeError, monotonicMs, sleep } from '../common/index.js';
@@ -15,34 +13,34 @@
 
 const MEMBERS = ['m1', 'm2', 'm3', 'm4', 'm5'];
 const USEFUL_MS = 2_000;
-/** Turns of one gateway a second. */
+/** Turns per second of one gateway. */
 const TURNS_PER_S = 20;
 const TURN_INTERVAL_MS = 1_000 / TURNS_PER_S;
-/** Questions that one gateway may put a second to members of which none leads. */
-const MOST_PROBES_PER_S = 30;
-/** Reservations that one gateway may have under way. */
-const MOST_UNDER_WAY = 16;
-const AWAY_S = 3;
-/** How long a leader takes to find that no member holds a history, the wait for heartbeats included. */
-const MISSING_MS = 160;
-/** How long one member may take over a reservation before others are asked. */
-const TRY_MS = 250;
+/** Maximum requests per second of one gateway while there is no leader. */
+const MAX_PROBES_PER_S = 30;
+/** Maximum number of reservations of one gateway in flight. */
+const MAX_IN_FLIGHT = 16;
+const OUTAGE_S = 3;
+/** Time in which a leader finds that no member holds a history, including its wait for heartbeats. */
+const MISSING_RESPONSE_MS = 160;
+/** Timeout of a reservation attempt at one member. */
+const ATTEMPT_TIMEOUT_MS = 250;
 
 beforeEach(() => void vi.useFakeTimers());
 afterEach(() => void vi.useRealTimers());
 
-/** Members of which the first leads, unless none does; answers take a time that a test sets. */
+/** Simulated members, the first of which is the leader, with a configurable response time. */
 class Members implements PeerCaller {
-  isLed = true;
-  /** Whether the leader refuses, since the group has more to do than it commits in time. */
+  hasLeader = true;
+  /** Whether the leader refuses requests because of overload. */
   isOverloaded = false;
-  answerMs = 2;
-  /** Questions, reservations that were told to the leader, and settlements in all of them. */
-  questions = 0;
+  responseMs = 2;
+  /** Number of requests, and of settlements in them. */
+  requests = 0;
   settlements = 0;
-  underWay = 0;
-  mostUnderWay = 0;
-  readonly askedAt: number[] = [];
+  inFlight = 0;
+  maxInFlight = 0;
+  readonly requestedAt: number[] = [];
   readonly settled = new Set<string>();
 
   isConnected(): boolean {
@@ -54,30 +52,30 @@
     method: Method<Request, Response>,
     request: Request,
   ): Promise<Response> {
-    this.questions += 1;
-    this.askedAt.push(monotonicMs());
+    this.requests += 1;
+    this.requestedAt.push(monotonicMs());
     const { settlements = [] } = request as ReserveRequest | SettleRequest;
     this.settlements += settlements.length;
-    if (address !== MEMBERS[0] || !this.isLed) {
+    if (address !== MEMBERS[0] || !this.hasLeader) {
       await sleep(1);
       return {
-        leaderAddress: this.isLed ? MEMBERS[0] : undefined,
+        leaderAddress: this.hasLeader ? MEMBERS[0] : undefined,
         refusal: 'not the leader',
       } as Response;
     }
     if (this.isOverloaded) {
-      await sleep(this.answerMs);
+      await sleep(this.responseMs);
       return { refused: { error: 'GroupOverloadedError', message: 'overloaded' } } as Response;
     }
     if ((request as ReserveRequest).previousTurn !== undefined) {
-      await sleep(MISSING_MS);
+      await sleep(MISSING_RESPONSE_MS);
       const missingHistory = { reason: 'held by no member' };
       return { answer: { outcome: 'granted', allowanceTokens: 0, missingHistory } } as Response;
     }
-    this.underWay += 1;
-    this.mostUnderWay = Math.max(this.mostUnderWay, this.underWay);
-    await sleep(this.answerMs);
-    this.underWay -= 1;
+    this.inFlight += 1;
+    this.maxInFlight = Math.max(this.maxInFlight, this.inFlight);
+    await sleep(this.responseMs);
+    this.inFlight -= 1;
     for (const { attempt } of settlements) this.settled.add(attempt);
     const isReservation = method.name === RESERVE.name;
     const answer = isReservation ? { outcome: 'granted', allowanceTokens: 0 } : { isSettled: true };
@@ -88,11 +86,11 @@
 class Gateway {
   readonly members = new Members();
   granted = 0;
-  /** Turns that were refused since their history is missing. */
+  /** Turns that were refused because of a missing history. */
   missing = 0;
-  /** The longest that a granted turn took. */
+  /** Longest reservation time of a granted turn. */
   slowestMs = 0;
-  /** Why turns were not granted. */
+  /** Errors of turns that were not granted. */
   readonly reasons = new Set<string>();
   private turns = 0;
   private readonly client: LedgerClient;
@@ -102,7 +100,7 @@
     this.client = new LedgerClient(groups, createLogger({}), 'gateway');
   }
 
-  /** Turns arrive evenly, are granted or not, and are settled at once. */
+  /** Runs turns at a constant rate, each settled right after its reservation. */
   async play(ms: number): Promise<void> {
     for (let passedMs = 0; passedMs < ms; passedMs += TURN_INTERVAL_MS) {
       void this.turn();
@@ -114,7 +112,7 @@
     return this.client.queuedSettlements;
   }
 
-  /** Turns whose history no member holds arrive evenly. */
+  /** Runs turns with missing histories at a constant rate. */
   async playMissing(ms: number, intervalMs: number): Promise<void> {
     for (let passedMs = 0; passedMs < ms; passedMs += intervalMs) {
       void this.missingTurn(passedMs);
@@ -154,21 +152,21 @@
 }
 
 describe('a gateway whose ledger has no leader', () => {
-  it('asks as one, however many turns wait', async () => {
+  it('sends a bounded number of requests, however many turns wait', async () => {
     const gateway = new Gateway();
     await gateway.play(1_000);
-    gateway.members.isLed = false;
-    const before = gateway.members.questions;
-    await gateway.play(AWAY_S * 1_000);
-    expect(gateway.members.questions - before).toBeLessThan(AWAY_S * MOST_PROBES_PER_S);
+    gateway.members.hasLeader = false;
+    const before = gateway.members.requests;
+    await gateway.play(OUTAGE_S * 1_000);
+    expect(gateway.members.requests - before).toBeLessThan(OUTAGE_S * MAX_PROBES_PER_S);
   });
 
-  it('sends settlements again no more than a tenth as often as it sends any', async () => {
+  it('resends at most a tenth of the settlements', async () => {
     const gateway = new Gateway();
     await gateway.play(1_000);
-    gateway.members.isLed = false;
-    await gateway.play(AWAY_S * 1_000);
-    gateway.members.isLed = true;
+    gateway.members.hasLeader = false;
+    await gateway.play(OUTAGE_S * 1_000);
+    gateway.members.hasLeader = true;
     await gateway.play(5_000);
     await vi.advanceTimersByTimeAsync(1_000);
     const { settled, settlements } = gateway.members;
@@ -176,17 +174,17 @@
     expect(settlements).toBeLessThan(1.1 * settled.size);
   });
 
-  it('serves turns again within a second of its return, a few at first', async () => {
+  it('grants turns within a second after the leader returns, with few requests at first', async () => {
     const gateway = new Gateway();
     await gateway.play(1_000);
-    gateway.members.isLed = false;
-    await gateway.play(AWAY_S * 1_000);
+    gateway.members.hasLeader = false;
+    await gateway.play(OUTAGE_S * 1_000);
     const { members } = gateway;
-    members.isLed = true;
-    members.answerMs = 100;
+    members.hasLeader = true;
+    members.responseMs = 100;
     const returnedAt = monotonicMs();
     await gateway.play(150);
-    const first = members.askedAt.filter((at) => at > returnedAt).length;
+    const first = members.requestedAt.filter((at) => at > returnedAt).length;
     expect(first).toBeLessThan(10);
     const { granted } = gateway;
     await gateway.play(850);
@@ -194,37 +192,38 @@
   });
 });
 
-describe('a gateway beside turns whose history is missing', () => {
+describe('a gateway with turns whose history is missing', () => {
   it.each([50, 200, 1_000])(
-    'grants others as if there were none, one every %i ms',
+    'grants other turns without delay, with one missing history every %i ms',
     async (everyMs) => {
       const gateway = new Gateway();
-      const missing = gateway.playMissing(AWAY_S * 1_000, everyMs);
-      for (let passedMs = 0; passedMs < AWAY_S * 1_000; passedMs += TURN_INTERVAL_MS) {
+      const missing = gateway.playMissing(OUTAGE_S * 1_000, everyMs);
+      for (let passedMs = 0; passedMs < OUTAGE_S * 1_000; passedMs += TURN_INTERVAL_MS) {
         await gateway.play(TURN_INTERVAL_MS);
         expect(gateway.expectedOutageMs).toBe(0);
       }
       await vi.advanceTimersByTimeAsync(1_000);
       await missing;
-      expect(gateway.missing).toBe((AWAY_S * 1_000) / everyMs);
+      expect(gateway.missing).toBe((OUTAGE_S * 1_000) / everyMs);
       expect([...gateway.reasons]).toEqual([]);
-      expect(gateway.slowestMs).toBeLessThan(TRY_MS);
+      expect(gateway.slowestMs).toBeLessThan(ATTEMPT_TIMEOUT_MS);
       expect(gateway.queuedSettlements).toBe(0);
     },
   );
 });
 
-describe('a gateway whose leader refuses for a while', () => {
-  it('says so, asks as one, and is granted turns again within a second', async () => {
+describe('a gateway whose leader refuses requests', () => {
+  it('reports the refusal, limits its requests, and recovers within a second', async () => {
     const gateway = new Gateway();
     await gateway.play(1_000);
     const { members } = gateway;
-    const before = members.questions;
+    const before = members.requests;
     members.isOverloaded = true;
-    await gateway.play(AWAY_S * 1_000);
-    expect(members.questions - before).toBeLessThan(AWAY_S * MOST_PROBES_PER_S);
+    await gateway.play(OUTAGE_S * 1_000);
+    expect(members.requests - before).toBeLessThan(OUTAGE_S * MAX_PROBES_PER_S);
     expect(gateway.reasons.size).toBeGreaterThan(0);
-    for (const reason of gateway.reasons) expect(reason).toMatch(/overloaded|too many wait/);
+    for (const reason of gateway.reasons)
+      expect(reason).toMatch(/overloaded|too many wait/);
     members.isOverloaded = false;
     const { granted } = gateway;
     await gateway.play(1_000);
@@ -232,19 +231,19 @@
   });
 });
 
-describe('a gateway whose ledger answers slowly', () => {
-  it('has a bounded number of reservations under way', async () => {
+describe('a gateway whose ledger responds slowly', () => {
+  it('limits the reservations in flight', async () => {
     const gateway = new Gateway();
     await gateway.play(1_000);
-    gateway.members.answerMs = 1_900;
+    gateway.members.responseMs = 1_900;
     await gateway.play(5_000);
-    expect(gateway.members.mostUnderWay).toBeLessThanOrEqual(MOST_UNDER_WAY + 2);
+    expect(gateway.members.maxInFlight).toBeLessThanOrEqual(MAX_IN_FLIGHT + 2);
   });
 
-  it('lets each settlement that nobody waits for ride with a reservation', async () => {
+  it('piggybacks settlements without a waiting caller on reservations', async () => {
     const gateway = new Gateway();
     await gateway.play(5_000);
     const turns = 5 * TURNS_PER_S;
-    expect(gateway.members.questions).toBeLessThan(1.1 * turns);
+    expect(gateway.members.requests).toBeLessThan(1.1 * turns);
   });
 });
--- a/src/ledger/ledger-client.ts
+++ b/src/ledger/ledger-client.ts
@@ -1,6 +1,6 @@
 /**
- * Reaches the ledger's leader from a gateway. Settlements that nobody waits for go out in batches.
- * While no leader answers, turns that need nothing else of it may go on by the gateway's allowance.
+ * Client of the ledger's leader in a gateway. Settlements without a waiting caller are sent in batches.
+ * While no leader responds, turns that need only budget can run on the gateway's allowance.
  */
 import { Backoff, describeError, monotonicMs, sleep } from '../common/index.js';
 import {
@@ -25,31 +25,31 @@
 import { type SettlementBatch, SettlementQueue } from './settlement-queue.js';
 import type { ValueCopySender } from './value-copy-sender.js';
 
-/** How long settlements wait for a reservation that takes them along, in milliseconds. */
-const RIDE_WAIT_MS = 250;
-/** Settlements ride with a reservation while no answer is overdue: by this, or by as much as answers take. */
-const RIDE_SILENCE_MS = 50;
-/** Settlements that failed are sent again after a wait up to these, in milliseconds. */
-const RESEND_WAIT_MS = 200;
-const MOST_RESEND_WAIT_MS = 1_000;
-/** Settlements that go with a question whether a leader is back. */
-const PROBE_BATCH = 1;
-/** Longest pause between two members that a question goes to, in milliseconds: an election time-out. */
-const MAXIMUM_PAUSE_MS = 250;
+/** How long settlements wait to be piggybacked on a reservation, in milliseconds. */
+const PIGGYBACK_WAIT_MS = 250;
+/** Lower bound of the silence from which reservations carry no settlements, in milliseconds. */
+const PIGGYBACK_MAX_SILENCE_MS = 50;
+/** Initial and maximum retry delays of failed settlements, in milliseconds. */
+const RETRY_DELAY_MS = 200;
+const MAX_RETRY_DELAY_MS = 1_000;
+/** Number of settlements in a request that probes for a leader. */
+const PROBE_BATCH_SIZE = 1;
+/** Maximum pause between attempts at two members, in milliseconds: one election timeout. */
+const MAX_ATTEMPT_PAUSE_MS = 250;
 const SETTLE_TIMEOUT_MS = 2_000;
-/** Targets of copies may change between two of them. */
-const MOST_SETTLE_TRIES = 3;
-/** How long one leader may take over settlements, and over one reservation, in milliseconds. */
-const SETTLE_TRY_TIMEOUT_MS = 400;
-const RESERVE_TRY_TIMEOUT_MS = 250;
-/** How long a reservation may take where an allowance covers the turn, in milliseconds. */
+/** The copy targets may change between two attempts. */
+const MAX_SETTLE_ATTEMPTS = 3;
+/** Timeouts of one attempt at one member, in milliseconds. */
+const SETTLE_ATTEMPT_TIMEOUT_MS = 400;
+const RESERVE_ATTEMPT_TIMEOUT_MS = 250;
+/** Timeout of a reservation for a turn that an allowance covers, in milliseconds. */
 const COVERED_RESERVE_TIMEOUT_MS = 200;
-/** After a failure, covered turns don't ask the ledger for this time, in milliseconds. */
-const SUSPECT_MS = 400;
+/** After a failed reservation, covered turns skip the ledger for this time, in milliseconds. */
+const LEADER_SUSPECT_MS = 400;
 
-/** A reservation as the caller's side sees it. */
+/** Result of a reservation. */
 export interface LedgerReservation extends ReserveResponse {
-  /** Most tokens taken from the allowance, if the ledger was not asked or did not answer. */
+  /** Tokens drawn from the allowance, if the ledger was skipped or did not respond. */
   allowanceTaken?: number;
 }
 
@@ -60,14 +60,14 @@
   private readonly window = new ReservationWindow(() => this.outage.remainingMs > 0);
   private isSending = false;
   private isProbing = false;
-  /** Why the leader refused the latest question that has ended, if it did. */
+  /** The leader's refusal of the latest completed request, if it refused it. */
   private latestRefusal: LeaderRefusal | undefined;
-  private suspectUntil = 0;
+  private leaderSuspectUntil = 0;
 
   /**
-   * @param holder names this start of the process, for its allowances
-   * @param histories reads histories at members that don't lead; without it the leader sends them
-   * @param copies sends kept turns to members that don't lead; without it the leader sends them
+   * @param holder identifies this process incarnation as the holder of its allowances
+   * @param histories reads histories from followers; if absent, the leader sends them
+   * @param copies sends kept turns to the followers; if absent, the leader sends them
    */
   constructor(
     private readonly groups: GroupClient,
@@ -77,60 +77,59 @@
     private readonly copies?: ValueCopySender,
   ) {}
 
-  /** Expected time until a leader answers, in milliseconds; 0 while it does. */
+  /** Expected time until a leader responds, in milliseconds; 0 while one responds. */
   get expectedOutageMs(): number {
     return this.outage.remainingMs;
   }
 
-  /** Settlements that wait to be delivered. */
+  /** Number of settlements waiting for delivery. */
   get queuedSettlements(): number {
     return this.queue.size;
   }
 
   /**
-   * Reserves a turn's most tokens, and takes waiting settlements along.
-   * @param usefulMs how long an answer is of any use, in milliseconds
-   * @param mayUseAllowance whether the turn may run without the ledger's word
-   * @param steps notes what the reservation went through
-   * @throws NotReservedError when the ledger was not asked
-   * @throws HistoryMissingError when no member that answers holds the history; the reservation stands
-   * @throws GroupUnavailableError when no leader answered while waiting for one could pay; the
-   *   reservation may stand
+   * Reserves a turn's maximum tokens, and piggybacks waiting settlements.
+   * @param usefulMs time after which the response is of no use, in milliseconds
+   * @param mayUseAllowance whether the turn may run without a response of the ledger
+   * @param trace records timings and the failed step
+   * @throws NotReservedError when no request was sent to the ledger
+   * @throws HistoryMissingError when no reachable member holds the history; the reservation remains valid
+   * @throws GroupUnavailableError when no leader responded in time; the reservation may be committed
    */
   async reserve(
     request: TurnRequest,
     usefulMs: number,
     mayUseAllowance: boolean,
-    steps = new ReservationTrace(),
+    trace = new ReservationTrace(),
   ): Promise<LedgerReservation> {
-    steps.knownLeader = this.groups.lastHeardLeader(LEDGER_GROUP);
+    trace.knownLeader = this.groups.lastHeardLeader(LEDGER_GROUP);
     const { program, mostTokens } = request;
     const isCovered = mayUseAllowance && this.allowances.covers(program, mostTokens);
-    if (isCovered && monotonicMs() < this.suspectUntil) return this.takeAllowance(request);
+    if (isCovered && monotonicMs() < this.leaderSuspectUntil) return this.drawAllowance(request);
     const limitMs = isCovered ? COVERED_RESERVE_TIMEOUT_MS : this.outage.waitMs(usefulMs);
     if (limitMs <= 0) {
-      steps.failedStep = this.latestRefusal ? 'commit' : 'find-leader';
-      throw this.refuseToWait();
+      trace.failedStep = this.latestRefusal ? 'commit' : 'find-leader';
+      throw this.rejectWithoutWaiting();
     }
     try {
-      const answer = await this.attempt(request, limitMs, steps);
-      this.suspectUntil = 0;
+      const answer = await this.attempt(request, limitMs, trace);
+      this.leaderSuspectUntil = 0;
       this.allowances.update(program, answer.allowanceTokens);
       return answer;
     } catch (error) {
-      // The leader is there and answers.
+      // The leader did respond.
       if (error instanceof HistoryMissingError) throw error;
-      this.suspectUntil = monotonicMs() + SUSPECT_MS;
+      this.leaderSuspectUntil = monotonicMs() + LEADER_SUSPECT_MS;
       if (isCovered && this.allowances.covers(program, mostTokens)) {
-        return this.takeAllowance(request);
+        return this.drawAllowance(request);
       }
       throw error;
     }
   }
 
   /**
-   * Makes the settlement of a turn that ran by the allowance; what it did not spend may be taken
-   * again at once.
+   * Creates the settlement of a turn that ran on the allowance, and returns its unspent tokens to the
+   * allowance.
    */
   drawFromAllowance(settlement: Settlement, takenTokens: number): Settlement {
     const { program, spentTokens } = settlement;
@@ -138,15 +137,15 @@
     return { ...settlement, draw: { holder: this.holder, tokens: spentTokens } };
   }
 
-  /** Resolves once the settlement is committed. @throws GroupUnavailableError when it may not be */
+  /** Resolves once the settlement is committed. @throws GroupUnavailableError when it may not be committed */
   async settle(settlement: Settlement, timeoutMs: number): Promise<void> {
     const deadlineMs = monotonicMs() + timeoutMs;
     let isSettled = false;
-    for (let tries = 1; !isSettled; tries += 1) {
-      const leftMs = Math.max(1, deadlineMs - monotonicMs());
-      const limits = { timeoutMs: leftMs, tryTimeoutMs: SETTLE_TRY_TIMEOUT_MS };
+    for (let attempts = 1; !isSettled; attempts += 1) {
+      const remainingMs = Math.max(1, deadlineMs - monotonicMs());
+      const limits = { timeoutMs: remainingMs, tryTimeoutMs: SETTLE_ATTEMPT_TIMEOUT_MS };
       const copiedTo = this.copies?.send(settlement);
-      const canCopy = this.copies !== undefined && tries < MOST_SETTLE_TRIES;
+      const canCopy = this.copies !== undefined && attempts < MAX_SETTLE_ATTEMPTS;
       const request = { settlements: [settlement], copiedTo, canCopy };
       const answer = await this.call(SETTLE, request, limits);
       if (answer.copyTargets) this.copies?.updateTargets(answer.copyTargets);
@@ -155,86 +154,86 @@
     if (settlement.draw) this.allowances.confirm(settlement.program);
   }
 
-  /** Settles soon, and again until it is committed. */
+  /** Queues a settlement, which is retried until it is committed or too old. */
   settleLater(settlement: Settlement): void {
     this.queue.add(settlement);
-    this.sendSoon();
+    this.startSending();
   }
 
   private attempt(
     request: TurnRequest,
     limitMs: number,
-    steps: ReservationTrace,
+    trace: ReservationTrace,
   ): Promise<ReserveResponse> {
     const { histories, logger } = this;
-    const sendRequest = this.ask.bind(this);
+    const sendRequest = this.reserveWithinWindow.bind(this);
     return new ReservationAttempt({
       request,
       limitMs,
-      steps,
+      trace,
       sendRequest,
       histories,
       logger,
     }).run();
   }
 
-  /** Asks the ledger once there is room for one more question. */
-  private async ask(
+  /** Sends the reservation once the window admits it. */
+  private async reserveWithinWindow(
     request: TurnRequest,
     limitMs: number,
-    steps: ReservationTrace,
+    trace: ReservationTrace,
   ): Promise<ReserveResponse> {
-    const askedAt = monotonicMs();
+    const startedAtMs = monotonicMs();
     const hasEntered = await this.window.enter(limitMs);
     const enteredAt = monotonicMs();
-    steps.times.windowMs += enteredAt - askedAt;
+    trace.times.windowMs += enteredAt - startedAtMs;
     if (!hasEntered) {
-      steps.failedStep = 'enter-window';
-      throw new NotReservedError('too many wait for the ledger');
+      trace.failedStep = 'enter-window';
+      throw new NotReservedError('too many waiting reservations for the ledger');
     }
-    const timeoutMs = Math.max(1, askedAt + limitMs - enteredAt);
-    steps.requestCount += 1;
+    const timeoutMs = Math.max(1, startedAtMs + limitMs - enteredAt);
+    trace.requestCount += 1;
     try {
-      return await this.askLeader(request, timeoutMs);
+      return await this.sendReservation(request, timeoutMs);
     } catch (error) {
-      steps.failedStep = error instanceof LeaderRefusedError ? 'commit' : 'find-leader';
+      trace.failedStep = error instanceof LeaderRefusedError ? 'commit' : 'find-leader';
       throw error;
     } finally {
-      steps.times.leaderMs += monotonicMs() - enteredAt;
-      steps.leader = this.groups.lastHeardLeader(LEDGER_GROUP)?.address;
+      trace.times.leaderMs += monotonicMs() - enteredAt;
+      trace.leader = this.groups.lastHeardLeader(LEDGER_GROUP)?.address;
     }
   }
 
-  /** Takes waiting settlements along; the window was entered before. */
-  private async askLeader(request: TurnRequest, timeoutMs: number): Promise<ReserveResponse> {
+  /** Sends a reservation with piggybacked settlements. The caller has entered the window. */
+  private async sendReservation(request: TurnRequest, timeoutMs: number): Promise<ReserveResponse> {
     const startedAt = monotonicMs();
-    const batch = this.queue.take(this.mayRide ? undefined : 0);
+    const batch = this.queue.take(this.canPiggyback ? undefined : 0);
     const { settlements } = batch;
     const copyTargets = this.copies?.version;
-    const whole = { ...request, holder: this.holder, settlements, copyTargets };
-    const limits = { timeoutMs, tryTimeoutMs: RESERVE_TRY_TIMEOUT_MS };
+    const fullRequest = { ...request, holder: this.holder, settlements, copyTargets };
+    const limits = { timeoutMs, tryTimeoutMs: RESERVE_ATTEMPT_TIMEOUT_MS };
     try {
-      const answer = await this.call(RESERVE, whole, limits);
+      const answer = await this.call(RESERVE, fullRequest, limits);
       if (answer.copyTargets) this.copies?.updateTargets(answer.copyTargets);
-      // The leader has looked for it at others, and waited for them.
+      // The time includes the leader's requests to other members.
       if (answer.missingHistory) this.window.leaveUnmeasured();
       else this.window.leaveAnswered(monotonicMs() - startedAt);
-      this.noteSettled(batch);
+      this.confirmDraws(batch);
       return answer;
     } catch (error) {
       this.window.leaveFailed(monotonicMs() - startedAt);
       this.queue.requeue(batch);
-      this.sendSoon();
+      this.startSending();
       throw error;
     }
   }
 
-  private get mayRide(): boolean {
-    const ordinaryMs = Math.max(RIDE_SILENCE_MS, 2 * this.window.expectedResponseMs);
-    return !this.isAway && this.outage.silenceMs < ordinaryMs;
+  private get canPiggyback(): boolean {
+    const normalResponseMs = Math.max(PIGGYBACK_MAX_SILENCE_MS, 2 * this.window.expectedResponseMs);
+    return !this.isLeaderUnavailable && this.outage.silenceMs < normalResponseMs;
   }
 
-  private takeAllowance({
+  private drawAllowance({
     program,
     attempt,
     mostTokens,
@@ -248,31 +247,36 @@
     return { outcome: 'granted', allowanceTokens: 0, allowanceTaken: mostTokens };
   }
 
-  private sendSoon(): void {
+  private startSending(): void {
     if (!this.isSending) void this.sendQueue();
   }
 
   private async sendQueue(): Promise<void> {
     this.isSending = true;
-    const resendWait = new Backoff({ initialMs: RESEND_WAIT_MS, maximumMs: MOST_RESEND_WAIT_MS });
+    const retryBackoff = new Backoff({ initialMs: RETRY_DELAY_MS, maximumMs: MAX_RETRY_DELAY_MS });
     while (this.queue.size > 0) {
-      const rideMs = RIDE_WAIT_MS - this.queue.oldestAgeMs;
-      if (rideMs > 0) await sleep(rideMs);
-      // A reservation that asks for a leader finds it for settlements too.
-      else if (this.isAway && this.window.hasRequestInFlight) await sleep(RESEND_WAIT_MS);
-      else if (await this.sendBatch(this.queue.take(this.isAway ? PROBE_BATCH : undefined)))
-        resendWait.reset();
-      else await sleep(resendWait.nextDelayMs());
+      const piggybackMs = PIGGYBACK_WAIT_MS - this.queue.oldestAgeMs;
+      if (piggybackMs > 0) await sleep(piggybackMs);
+      // A reservation in flight already probes for a leader.
+      else if (this.isLeaderUnavailable && this.window.hasRequestInFlight)
+        await sleep(RETRY_DELAY_MS);
+      else if (
+        await this.sendBatch(
+          this.queue.take(this.isLeaderUnavailable ? PROBE_BATCH_SIZE : undefined),
+        )
+      )
+        retryBackoff.reset();
+      else await sleep(retryBackoff.nextDelayMs());
     }
     this.isSending = false;
   }
 
-  /** @returns whether it was settled */
+  /** @returns whether the batch was settled */
   private async sendBatch(batch: SettlementBatch): Promise<boolean> {
-    const limits = { timeoutMs: SETTLE_TIMEOUT_MS, tryTimeoutMs: SETTLE_TRY_TIMEOUT_MS };
+    const limits = { timeoutMs: SETTLE_TIMEOUT_MS, tryTimeoutMs: SETTLE_ATTEMPT_TIMEOUT_MS };
     try {
       await this.call(SETTLE, { settlements: batch.settlements }, limits);
-      this.noteSettled(batch);
+      this.confirmDraws(batch);
       return true;
     } catch (error) {
       this.queue.requeue(batch);
@@ -282,29 +286,29 @@
     }
   }
 
-  /** Whether no leader has done what it was asked for longer than an answer takes. */
-  private get isAway(): boolean {
+  /** Whether an outage of the leader is suspected. */
+  private get isLeaderUnavailable(): boolean {
     return this.outage.remainingMs > 0;
   }
 
-  private noteSettled(batch: SettlementBatch): void {
+  private confirmDraws(batch: SettlementBatch): void {
     for (const { program, draw } of batch.settlements) {
       if (draw) this.allowances.confirm(program);
     }
   }
 
-  /** Somebody has to find out when a leader is back, also while no call waits for it. */
-  private refuseToWait(): NotReservedError {
+  /** Probes for a leader, since no reservation waits for one. */
+  private rejectWithoutWaiting(): NotReservedError {
     void this.probe();
     const refusal = this.latestRefusal;
-    if (!refusal) return new NotReservedError('a leader will hardly answer in time');
-    return new NotReservedError(`the leader has refused for a while: ${refusal.message}`);
+    if (!refusal) return new NotReservedError('no leader is expected to respond in time');
+    return new NotReservedError(`the leader keeps refusing requests: ${refusal.message}`);
   }
 
   private async probe(): Promise<void> {
     if (this.isProbing || this.window.hasRequestInFlight) return;
     this.isProbing = true;
-    await this.sendBatch(this.queue.take(PROBE_BATCH));
+    await this.sendBatch(this.queue.take(PROBE_BATCH_SIZE));
     this.isProbing = false;
   }
 
@@ -315,13 +319,13 @@
   ): Promise<Answer> {
     this.outage.recordRequest();
     try {
-      const paced = { ...limits, maximumPauseMs: MAXIMUM_PAUSE_MS };
-      const answer = await callLeader(this.groups, LEDGER_GROUP, method, request, paced);
+      const options = { ...limits, maximumPauseMs: MAX_ATTEMPT_PAUSE_MS };
+      const answer = await callLeader(this.groups, LEDGER_GROUP, method, request, options);
       this.outage.recordResponse();
       this.latestRefusal = undefined;
       return answer;
     } catch (error) {
-      // A leader that refuses all for long is waited for no longer than one that is away, and asked by as few.
+      // A leader that refuses requests counts as unavailable.
       this.outage.recordFailure();
       this.latestRefusal = error instanceof LeaderRefusedError ? error.refusal : undefined;
       throw error;
--- a/src/ledger/ledger-commands.ts
+++ b/src/ledger/ledger-commands.ts
@@ -1,51 +1,51 @@
 /** Commands of the replicated ledger of program budgets and kept turns. */
 import type { TurnPlacement } from './program-placements.js';
 
-/** Sets the most tokens of a turn aside before any of them can reach the caller. */
+/** Reserves the maximum tokens of a turn before any of them can reach the caller. */
 export interface ReserveCommand {
   kind: 'reserve';
   program: string;
   /** Id of the call attempt; a repeated reservation of the same attempt changes nothing. */
   attempt: string;
-  /** Tokens that all turns of the program may generate; absent when the program has no budget. */
+  /** Token budget of the program; absent if it has none. */
   budgetTokens?: number;
-  /** Most tokens that this turn generates. */
+  /** Maximum number of tokens that the turn can generate. */
   mostTokens: number;
-  /** Id of the turn that this one continues. */
+  /** Id of the turn that this turn continues. */
   previousTurn?: string;
-  /** One start of a gateway, which may be granted an allowance. */
+  /** Gateway incarnation that can be granted an allowance. */
   holder?: string;
-  /** The line of turns that this one belongs to. */
+  /** Session that the turn belongs to. */
   session?: string;
-  /** Settlements of turns that are over; they count before the reservation does. */
+  /** Settlements of finished turns, applied before the reservation. */
   settlements?: Settlement[];
   /** The leader's clock, in milliseconds. */
   nowMs: number;
 }
 
-/** Tokens that a turn took from its gateway's allowance. */
+/** Tokens that a turn drew from its gateway's allowance. */
 export interface AllowanceDraw {
   holder: string;
   tokens: number;
 }
 
-/** A turn that later turns may continue. */
+/** A turn that later turns can continue, with its value. */
 export interface KeptTurn {
   previousTurn?: string;
   /** The new input of this turn. */
   input: Uint8Array;
-  /** The data of its events, each with a line feed after it. */
+  /** Data of the turn's events, each terminated by a line feed. */
   output: Uint8Array;
   retentionMs: number;
 }
 
-/** A kept turn as the log names it; its input and output are with every member that holds the entry. */
+/** A kept turn without its value, as in a log entry. Each member that holds the entry stores the value. */
 export interface KeptTurnReference {
   previousTurn?: string;
   retentionMs: number;
 }
 
-/** Replaces a reservation by what was really passed on, and keeps the turn if it is to be kept. */
+/** Replaces a reservation by the tokens that were delivered, and adds the kept turn, if any. */
 export interface Settlement {
   program: string;
   /** Id of the call attempt; a repeated settlement of the same attempt changes nothing. */
@@ -53,7 +53,7 @@
   spentTokens: number;
   keep?: KeptTurn | KeptTurnReference;
   draw?: AllowanceDraw;
-  /** Where the turn ran; absent when it was not answered. */
+  /** Where the turn ran; absent if no backend responded. */
   placement?: TurnPlacement;
 }
 
@@ -63,7 +63,7 @@
   nowMs: number;
 }
 
-/** Whether a kept turn comes with its input and output, and not by name only. */
+/** Whether a kept turn carries its value, and not only a reference to it. */
 export function hasInlineValue(keep: KeptTurn | KeptTurnReference): keep is KeptTurn {
   return 'input' in keep;
 }
@@ -74,8 +74,8 @@
 
 export interface ReserveResult {
   outcome: ReserveOutcome;
-  /** Tokens that the holder may let the program spend while the ledger can't be reached. */
+  /** Tokens that the holder may spend for the program while the ledger is unreachable. */
   allowanceTokens: number;
-  /** The back end that most likely holds the prompt of the turns before. */
+  /** The backend that most likely has the prompt of the previous turns cached. */
   lastBackend?: string;
 }
--- a/src/ledger/ledger-errors.ts
+++ b/src/ledger/ledger-errors.ts
@@ -1,33 +1,33 @@
-/** Why a turn was not reserved, or is reserved and can't be sent. */
+/** Errors of reservations. */
 import { LedgegaugeError } from '../common/index.js';
 import { GroupUnavailableError } from '../consensus/index.js';
 import { LEDGER_GROUP, type MissingHistory, RESERVE } from './messages.js';
 
-/** When a turn may come back whose history no member holds, at the soonest, in milliseconds. */
-const MISSING_COME_BACK_MS = 1_000;
+/** Minimum delay before a turn with a missing history is retried, in milliseconds. */
+const MISSING_HISTORY_RETRY_MS = 1_000;
 
 const CONTEXT = { step: RESERVE.name, peer: LEDGER_GROUP, retriable: true };
 
-/** No leader of the ledger did what it was asked; the reservation may stand. */
+/** No leader confirmed the reservation, which may nevertheless be committed. */
 export class MaybeReservedError extends GroupUnavailableError {
   constructor(message: string) {
     super(message, CONTEXT);
   }
 }
 
-/** The reservation was not told to the ledger, so that it can't stand. */
+/** The reservation was not sent to the ledger, so it cannot be committed. */
 export class NotReservedError extends GroupUnavailableError {
   constructor(message: string) {
     super(message, CONTEXT);
   }
 }
 
-/** The turn is reserved, and what it continues from can't be had in its time. */
+/** The turn is reserved, but its history is not available in time. */
 export class HistoryMissingError extends LedgegaugeError {
-  /** @param comeBackMs when another try may fare better, in milliseconds */
+  /** @param comeBackMs delay after which a retry may succeed, in milliseconds */
   constructor(
     message: string,
-    readonly comeBackMs = MISSING_COME_BACK_MS,
+    readonly comeBackMs = MISSING_HISTORY_RETRY_MS,
   ) {
     super(message, CONTEXT);
   }
@@ -37,7 +37,7 @@
       return new HistoryMissingError(`${reason}, and every member answers`);
     }
     const message = `${reason}, and another has been silent for ${Math.round(silentMs)} ms`;
-    // It may be away for as long again.
-    return new HistoryMissingError(message, Math.max(MISSING_COME_BACK_MS, silentMs));
+    // The outage is expected to last as long again.
+    return new HistoryMissingError(message, Math.max(MISSING_HISTORY_RETRY_MS, silentMs));
   }
 }
--- a/src/ledger/ledger-service.ts
+++ b/src/ledger/ledger-service.ts
@@ -1,4 +1,4 @@
-/** Serves reservations and settlements on the process that leads the ledger group. */
+/** RPC service of the ledger: reservations and settlements on the leader, reads on any member. */
 import { LedgegaugeError, monotonicMs, sleep } from '../common/index.js';
 import {
   type PeerNotifier,
@@ -35,32 +35,32 @@
 } from './messages.js';
 import { sendCopy } from './value-copy-sender.js';
 
-/** Members named for one history: a second for when the first has just gone. */
-const NAMED_MEMBERS = 2;
-/** How long a read waits here for the entry that brings its turn, in milliseconds: some heartbeats. */
-const APPLY_WAIT_MS = 200;
+/** Maximum number of members that a response lists as sources of a history. */
+const MAX_HISTORY_SOURCES = 2;
+/** How long a read waits until the entry that adds its turn is applied, in milliseconds. */
+const APPLY_TIMEOUT_MS = 200;
 
 export interface LedgerServiceOptions {
   peers: PeerNotifier;
   stateMachine: LedgerStateMachine;
   findGroup: () => ReplicatedGroup | undefined;
-  /** Whether this process is so short of memory that reservations must wait. */
+  /** Whether this process must refuse reservations to limit its memory use. */
   isUnderMemoryPressure: () => boolean;
 }
 
-/** The process is short of memory; nothing was reserved. */
+/** The process refused a reservation because of memory pressure. */
 export class LedgerOverloadedError extends LedgegaugeError {}
 
 export class LedgerService {
   private leadingSince = 0;
-  private clockAtStart = 0;
-  private nextHolder = 0;
-  /** Bytes of kept turns sent: with reservations, and to whoever asked for turns. */
+  private clockAtTermStart = 0;
+  private nextSource = 0;
+  /** Bytes of kept turns sent as histories, and to members that fetched turns. */
   readonly sentBytes = { histories: 0, turns: 0 };
 
   constructor(private readonly options: LedgerServiceOptions) {}
 
-  /** Turns that the state of this member names. */
+  /** Number of kept turns in the state of this member. */
   get keptTurnCount(): number {
     return this.options.stateMachine.turns.size;
   }
@@ -79,52 +79,56 @@
     router.handle(READ_TURNS, (request) => this.readTurns(request));
   }
 
-  /** Members that hold a turn and answer, each as likely as the others. */
+  /** Selects reachable members that hold a turn, round-robin. */
   private historySource(group: ReplicatedGroup, turn: string): HistorySource | undefined {
     const atIndex = this.options.stateMachine.turns.keptAtIndex(turn);
     if (atIndex === undefined) return undefined;
-    const heardSince = monotonicMs() - MEMBER_CONTACT_TIMEOUT_MS;
+    const contactSince = monotonicMs() - MEMBER_CONTACT_TIMEOUT_MS;
     const holders = group.configuration.members.filter(
       ({ id }) =>
         id !== group.ownId &&
         group.matchIndexOf(id) >= atIndex &&
-        group.contactMsOf(id) >= heardSince,
+        group.contactMsOf(id) >= contactSince,
     );
     if (holders.length === 0) return undefined;
-    const first = this.nextHolder++ % holders.length;
-    const named = [...holders.slice(first), ...holders.slice(0, first)].slice(0, NAMED_MEMBERS);
-    return { addresses: named.map(({ address }) => address), atIndex };
+    const first = this.nextSource++ % holders.length;
+    const selected = [...holders.slice(first), ...holders.slice(0, first)].slice(
+      0,
+      MAX_HISTORY_SOURCES,
+    );
+    return { addresses: selected.map(({ address }) => address), atIndex };
   }
 
-  /** Any member answers from what it holds itself. */
+  /** Served by any member, from its own store only. */
   private async readHistory({ turn, atIndex }: ReadHistoryRequest): Promise<ReadHistoryResponse> {
     const applier = this.options.findGroup()?.applier;
     if (!applier) return {};
     const isApplied = (): boolean => applier.appliedIndex >= atIndex;
-    if (!isApplied()) await Promise.race([applier.waitApplied(atIndex), sleep(APPLY_WAIT_MS)]);
+    if (!isApplied()) await Promise.race([applier.waitApplied(atIndex), sleep(APPLY_TIMEOUT_MS)]);
     if (!isApplied()) return {};
     const history = await this.options.stateMachine.external.read(turn, []);
     this.sentBytes.histories += history?.length ?? 0;
     return { history };
   }
 
-  /** Any member answers, also one that does not lead. */
+  /** Served by any member. */
   private async readTurns(request: ReadTurnsRequest): Promise<ReadTurnsResponse> {
     const appliedIndex = this.options.findGroup()?.applier.appliedIndex ?? 0;
     const { atIndex } = request;
-    const mayTellExpired = atIndex !== undefined && appliedIndex >= atIndex;
-    const answer = await this.options.stateMachine.external.answer(request, mayTellExpired);
+    const isStateRecentEnough = atIndex !== undefined && appliedIndex >= atIndex;
+    const answer = await this.options.stateMachine.external.answer(request, isStateRecentEnough);
     for (const [, value] of answer.values) this.sentBytes.turns += value.length;
     return { ...answer, memberId: this.options.findGroup()?.ownId };
   }
 
   private async reserve(group: ReplicatedGroup, request: ReserveRequest): Promise<ReserveResponse> {
     if (this.options.isUnderMemoryPressure()) throw overloadedError();
-    const { wantsHistory, mayReadElsewhere, copyTargets: known, ...reservation } = request;
+    const { wantsHistory, mayReadElsewhere, copyTargets: knownVersion, ...reservation } = request;
     const command: LedgerCommand = { kind: 'reserve', ...reservation, nowMs: this.nowMs(group) };
     const reserved = (await group.propose(encodeValue(command))) as ReserveResult;
     const targets = copyTargetsOf(group);
-    const result = targets.version === known ? reserved : { ...reserved, copyTargets: targets };
+    const result =
+      targets.version === knownVersion ? reserved : { ...reserved, copyTargets: targets };
     const { previousTurn } = request;
     if (result.outcome !== 'granted' || previousTurn === undefined || !wantsHistory) return result;
     const source = mayReadElsewhere ? this.historySource(group, previousTurn) : undefined;
@@ -141,35 +145,35 @@
   ): Promise<SettleResponse> {
     const targets = copyTargetsOf(group);
     const isCopied = copiedTo === targets.version;
-    const values = valuesIn(received);
-    // Copies by the leader, of what all gateways keep after its election, would take its link for good.
+    const values = inlineValuesOf(received);
+    // If the leader sent the copies for all gateways after an election, they would saturate its link.
     if (!isCopied && canCopy && values.size > 0) return { isSettled: false, copyTargets: targets };
     if (!isCopied) this.sendCopies(values, targets.addresses);
-    const settlements = received.map(withoutValue);
+    const settlements = received.map(withoutInlineValue);
     const command: LedgerCommand = { kind: 'settle', settlements, nowMs: this.nowMs(group) };
     await this.options.stateMachine.external.storeValues(values);
     await group.propose(encodeValue(command), [...values.values()]);
     return { isSettled: true, copyTargets: isCopied ? undefined : targets };
   }
 
-  /** For a gateway that does not know the followers of this leader yet. */
+  /** Sends the values to the followers for a gateway that does not know them yet. */
   private sendCopies(values: ReadonlyMap<string, Buffer>, addresses: readonly string[]): void {
     const { peers } = this.options;
     for (const [turn, value] of values) sendCopy(peers, addresses, { turn, value });
   }
 
-  /** A clock that goes on from the state's where the leader before left it. */
+  /** Monotonic clock that continues from the clock of the replicated state. */
   private nowMs(group: ReplicatedGroup): number {
     if (this.leadingSince !== group.leadingSince) {
       this.leadingSince = group.leadingSince;
-      this.clockAtStart = this.options.stateMachine.clockMs;
+      this.clockAtTermStart = this.options.stateMachine.clockMs;
     }
-    return Math.round(this.clockAtStart + monotonicMs() - this.leadingSince);
+    return Math.round(this.clockAtTermStart + monotonicMs() - this.leadingSince);
   }
 }
 
-/** By the turn's id, in the order of the settlements. */
-function valuesIn(settlements: readonly Settlement[]): Map<string, Buffer> {
+/** Encoded inline values by turn id, in the order of the settlements. */
+function inlineValuesOf(settlements: readonly Settlement[]): Map<string, Buffer> {
   const values = new Map<string, Buffer>();
   for (const { attempt, keep } of settlements) {
     if (keep && hasInlineValue(keep)) values.set(attempt, encodeTurnValue(keep));
@@ -177,11 +181,8 @@
   return values;
 }
 
-/**
- * In a log entry a value would go to every voter over this member's link, four copies of each, which bounded
- * what the ledger took.
- */
-function withoutValue(settlement: Settlement): Settlement {
+/** Replaces an inline value by a reference, so that the leader does not replicate values in log entries. */
+function withoutInlineValue(settlement: Settlement): Settlement {
   const { keep } = settlement;
   if (!keep || !hasInlineValue(keep)) return settlement;
   const { previousTurn, retentionMs } = keep;
@@ -198,5 +199,8 @@
 }
 
 function overloadedError(): LedgerOverloadedError {
-  return new LedgerOverloadedError('short of memory', { step: 'ledger.reserve', retriable: true });
+  return new LedgerOverloadedError('reservation refused: memory limit reached', {
+    step: 'ledger.reserve',
+    retriable: true,
+  });
 }
--- a/src/ledger/ledger-state-machine.ts
+++ b/src/ledger/ledger-state-machine.ts
@@ -1,4 +1,4 @@
-/** The replicated ledger: budgets of programs and turns that are kept. */
+/** State machine of the ledger: budgets of programs, kept turns and placements. */
 import type { StateMachine } from '../consensus/index.js';
 import type { LogEntry } from '../log-store/index.js';
 import type { Logger } from '../observability/index.js';
@@ -18,15 +18,12 @@
 import type { TurnValueStore } from './turn-value-store.js';
 
 const SWEEP_INTERVAL_MS = 5_000;
-/**
- * Turns of one piece of a snapshot, some 40 bytes each: far above the cost of a write, far below
- * what a process may hold.
- */
-const TURNS_PER_PIECE = 2_000;
-/** Turns are kept a little longer than promised, since clocks of leaders follow one another. */
-const EXPIRY_SLACK_MS = 10_000;
-
-/** The first frame of a snapshot; the index of kept turns follows, in frames of some size. */
+/** Turns per chunk of a snapshot, about 40 bytes each: bounds memory while limiting the number of writes. */
+const TURNS_PER_CHUNK = 2_000;
+/** Extra retention of turns, which covers clock differences between leaders, in milliseconds. */
+const EXPIRY_GRACE_MS = 10_000;
+
+/** First frame of a snapshot; the frames of the kept turn index follow. */
 interface EncodedLedger {
   clockMs: number;
   accounts: EncodedAccount[];
@@ -34,7 +31,7 @@
 }
 
 export interface LedgerStateOptions {
-  /** Where inputs and outputs of kept turns are. */
+  /** Store of the inputs and outputs of kept turns. */
   values: TurnValueStore;
   readTurnsAt: ReadTurnsAt;
   logger: Logger;
@@ -47,7 +44,7 @@
   readonly external: TurnHistoryStore;
   private clock = 0;
   private sweptAtMs = 0;
-  /** Log index of the command that is being applied. */
+  /** Log index of the latest applied command. */
   private index = 0;
 
   constructor(private readonly options: LedgerStateOptions) {
@@ -60,7 +57,7 @@
     });
   }
 
-  /** The highest leader's clock that a command carried, in milliseconds. */
+  /** Highest leader clock carried by an applied command, in milliseconds. */
   get clockMs(): number {
     return this.clock;
   }
@@ -79,7 +76,7 @@
       accounts: this.budgets.encode(),
       placements: this.placements.encode(),
     };
-    return encodePieces(encodeFrame(head), this.turns.encode(TURNS_PER_PIECE));
+    return encodeChunks(encodeFrame(head), this.turns.encode(TURNS_PER_CHUNK));
   }
 
   restore(bytes: Uint8Array): void {
@@ -89,11 +86,11 @@
     this.budgets.restore(head.accounts);
     this.turns.restore(turns);
     this.placements.restore(head.placements);
-    this.reportRestored();
+    this.logRestored();
   }
 
-  /** A turn without its value here can be continued only where another member has it. */
-  private reportRestored(): void {
+  /** Warns if values are missing, which must then be fetched from other members. */
+  private logRestored(): void {
     const { turns, options } = this;
     const restored = { named: turns.size, missing: turns.countWithoutValue() };
     if (restored.missing > 0) options.logger.warn('kept turns restored', restored);
@@ -124,13 +121,13 @@
   private sweep(): void {
     if (this.clock - this.sweptAtMs < SWEEP_INTERVAL_MS) return;
     this.sweptAtMs = this.clock;
-    this.turns.expire(this.clock - EXPIRY_SLACK_MS, this.index);
+    this.turns.expire(this.clock - EXPIRY_GRACE_MS, this.index);
     this.budgets.expire(this.clock);
     this.placements.expire(this.clock);
   }
 }
 
-function* encodePieces(
+function* encodeChunks(
   head: Uint8Array,
   groups: Iterable<EncodedTurn[]>,
 ): Generator<Uint8Array, void> {
@@ -143,7 +140,7 @@
   return { head, turns: groups.flat() };
 }
 
-/** Turns that an entry names without their values. */
+/** Ids of the kept turns that an entry refers to without their values. */
 function turnIdsInEntry({ kind, data }: LogEntry): string[] {
   if (kind !== 'command') return [];
   const command = decodeValue<LedgerCommand>(data);
--- a/src/ledger/ledger.test.ts
+++ b/src/ledger/ledger.test.ts
@@ -1,4 +1,4 @@
-/** Budgets, allowances and kept turns in the replicated ledger. */
+/** State machine of the ledger: budgets, allowances, kept turns and placements. */
 import { describe, expect, it } from 'vitest';
 import fc from 'fast-check';
 import { MemoryValues } from '../../tests/support/memory-values.js';
@@ -12,7 +12,7 @@
 
 const RETENTION_MS = 60_000;
 
-/** A state machine without other members. */
+/** Creates a state machine without peers. */
 function stateMachine(values = new MemoryValues()): LedgerStateMachine {
   const readTurnsAt = () => Promise.reject(new Error('no other members'));
   return new LedgerStateMachine({ values, readTurnsAt, logger: createLogger({ test: 'ledger' }) });
@@ -79,14 +79,14 @@
 }
 
 describe('a snapshot', () => {
-  it('holds many large turns in several pieces, and names what was said in them', async () => {
+  it('encodes many large turns in several chunks, without their values', async () => {
     const ledger = new Ledger();
     const text = 'x'.repeat(1_000);
     const turns = 10_000;
     for (let turn = 0; turn < turns; turn += 1) ledger.keep(`t${turn}`, `${turn}${text}`);
     const pieces = [...ledger.state.snapshot()];
     expect(pieces.length).toBeGreaterThan(3);
-    // 20 MB of inputs and outputs stay where they are.
+    // The snapshot does not contain the 20 MB of inputs and outputs.
     expect(Buffer.concat(pieces).length).toBeLessThan(turns * 50 + 200_000);
     ledger.restart();
     for (let turn = 0; turn < turns; turn += 500) {
@@ -94,7 +94,7 @@
     }
   });
 
-  it('shows the state of its moment, however late its pieces are asked for', () => {
+  it('is a consistent copy, even if its chunks are read later', () => {
     const ledger = new Ledger();
     ledger.reserve('t0', { budget: 1_000 });
     ledger.keep('k0', 'first');
@@ -112,7 +112,7 @@
 });
 
 describe('budgets', () => {
-  it('refuses a turn whose most does not fit any more', () => {
+  it('refuse a turn whose maximum exceeds the remaining budget', () => {
     const ledger = new Ledger();
     for (let turn = 0; turn < 10; turn += 1) {
       expect(ledger.reserve(`t${turn}`).outcome).toBe('granted');
@@ -124,7 +124,7 @@
     expect(ledger.reserve('t12').outcome).toBe('granted');
   });
 
-  it('counts a repeated reservation and a repeated settlement once', () => {
+  it('count duplicate reservations and settlements once', () => {
     const ledger = new Ledger();
     ledger.reserve('t', { budget: 150 });
     expect(ledger.reserve('t', { budget: 150 }).outcome).toBe('granted');
@@ -133,14 +133,14 @@
     expect(ledger.state.budgets.committedTokens('p')).toBe(50);
   });
 
-  it('opens nothing for a reservation that arrives after its settlement', () => {
+  it('ignore a reservation that arrives after its settlement', () => {
     const ledger = new Ledger();
     ledger.settle('t', 30);
     ledger.reserve('t');
     expect(ledger.state.budgets.committedTokens('p')).toBe(30);
   });
 
-  it('counts settlements that come with a reservation before it', () => {
+  it('apply piggybacked settlements before the reservation', () => {
     const ledger = new Ledger();
     ledger.reserve('t0', { budget: 150 });
     expect(ledger.reserve('t1', { budget: 150 }).outcome).toBe('budget-exhausted');
@@ -150,7 +150,7 @@
     expect(ledger.state.budgets.committedTokens('p')).toBe(130);
   });
 
-  it('holds over a restart', () => {
+  it('survive a restart', () => {
     const ledger = new Ledger();
     ledger.reserve('t0', { budget: 250, holder: 'g' });
     ledger.settle('t0', 100);
@@ -162,14 +162,14 @@
 });
 
 describe('allowances', () => {
-  it('are a part of what is committed and at most a quarter of the budget', () => {
+  it('count as committed and take at most a quarter of the budget', () => {
     const ledger = new Ledger();
     expect(ledger.reserve('t0', { holder: 'g' }).allowanceTokens).toBe(200);
     expect(ledger.reserve('t1', { holder: 'h' }).allowanceTokens).toBe(0);
     expect(ledger.state.budgets.committedTokens('p')).toBe(400);
   });
 
-  it('give way to turns of the one that holds them', () => {
+  it('are reclaimed for turns of their holder', () => {
     const ledger = new Ledger();
     ledger.reserve('t0', { holder: 'g' });
     for (let turn = 1; turn < 10; turn += 1) {
@@ -178,7 +178,7 @@
     expect(ledger.reserve('t10', { holder: 'g' }).outcome).toBe('budget-exhausted');
   });
 
-  it('become spending when a turn ran by them', () => {
+  it('are charged for turns that drew on them', () => {
     const ledger = new Ledger();
     ledger.reserve('t0', { holder: 'g' });
     ledger.settle('t0', 100);
@@ -186,10 +186,10 @@
     expect(ledger.state.budgets.committedTokens('p')).toBe(100 + 60 + 140);
   });
 
-  it('never let a program receive more than its budget, whoever settles or not', () => {
+  it('never let a program exceed its budget, even if turns are not settled', () => {
     const step = fc.record({
       gateway: fc.constantFrom('g', 'h', 'i'),
-      ledgerIsAway: fc.boolean(),
+      isLedgerUnavailable: fc.boolean(),
       spent: fc.integer({ min: 0, max: 100 }),
       settles: fc.boolean(),
       restarts: fc.boolean(),
@@ -197,26 +197,26 @@
     fc.assert(
       fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
         const ledger = new Ledger();
-        const books = new Map<string, AllowanceTracker>();
+        const trackers = new Map<string, AllowanceTracker>();
         let received = 0;
         for (const [
           index,
-          { gateway, ledgerIsAway, spent, settles, restarts },
+          { gateway, isLedgerUnavailable, spent, settles, restarts },
         ] of steps.entries()) {
-          const book = books.get(gateway) ?? new AllowanceTracker();
-          books.set(gateway, book);
+          const tracker = trackers.get(gateway) ?? new AllowanceTracker();
+          trackers.set(gateway, tracker);
           const attempt = `t${index}`;
-          if (ledgerIsAway) {
-            if (!book.take('p', 100)) continue;
+          if (isLedgerUnavailable) {
+            if (!tracker.take('p', 100)) continue;
             received += spent;
-            book.refund('p', 100 - spent);
+            tracker.refund('p', 100 - spent);
             if (!settles) continue;
             ledger.settle(attempt, spent, { holder: gateway, tokens: spent });
-            book.confirm('p');
+            tracker.confirm('p');
           } else {
             const result = ledger.reserve(attempt, { budget: 700, holder: gateway });
             if (result.outcome !== 'granted') continue;
-            book.update('p', result.allowanceTokens);
+            tracker.update('p', result.allowanceTokens);
             received += spent;
             if (settles) ledger.settle(attempt, spent);
           }
@@ -229,7 +229,7 @@
 });
 
 describe('kept turns', () => {
-  it('give back a chain with inputs and outputs, oldest first', async () => {
+  it('are read as a chain of inputs and outputs, oldest first', async () => {
     const ledger = new Ledger();
     ledger.keep('a', '1');
     ledger.keep('b', '2', 'a');
@@ -238,14 +238,14 @@
     expect(await ledger.history('c')).toBe('in-1;out-1;in-3;out-3;');
   });
 
-  it('are told apart from turns that never were', () => {
+  it('are distinguished from unknown turns', () => {
     const ledger = new Ledger();
     ledger.keep('a', '1');
     expect(ledger.reserve('b', { previousTurn: 'a' }).outcome).toBe('granted');
     expect(ledger.reserve('c', { previousTurn: 'forged' }).outcome).toBe('unknown-predecessor');
   });
 
-  it('keep their chain for as long as the last of it, then go', async () => {
+  it('retain their chain as long as the latest turn, then expire', async () => {
     const ledger = new Ledger();
     ledger.keep('a', '1');
     ledger.nowMs = 50_000;
@@ -270,38 +270,43 @@
 });
 
 describe('placements', () => {
-  function ranAt(ledger: Ledger, attempt: string, session: string, backend: string): void {
+  function recordPlacement(
+    ledger: Ledger,
+    attempt: string,
+    session: string,
+    backend: string,
+  ): void {
     const placement = { session, backend };
     ledger.settleAll([{ program: 'p', attempt, spentTokens: 1, placement }]);
   }
 
-  it('tell a turn where the one before it in its session ran', () => {
+  it('return the backend of the previous turn of the session', () => {
     const ledger = new Ledger();
     expect(ledger.reserve('a', { session: 's' }).lastBackend).toBeUndefined();
-    ranAt(ledger, 'a', 's', 'e1');
-    ranAt(ledger, 'b', 't', 'e2');
+    recordPlacement(ledger, 'a', 's', 'e1');
+    recordPlacement(ledger, 'b', 't', 'e2');
     expect(ledger.reserve('c', { session: 's' }).lastBackend).toBe('e1');
     ledger.restart();
     expect(ledger.reserve('d', { session: 't' }).lastBackend).toBe('e2');
   });
 
-  it('tell a new session of a program where the latest of the others ran', () => {
+  it('return the latest backend of the program for a new session', () => {
     const ledger = new Ledger();
-    ranAt(ledger, 'a', 's', 'e1');
-    ranAt(ledger, 'b', 's', 'e2');
+    recordPlacement(ledger, 'a', 's', 'e1');
+    recordPlacement(ledger, 'b', 's', 'e2');
     expect(ledger.reserve('c', { session: 'sub-agent' }).lastBackend).toBe('e2');
   });
 
-  it('are forgotten when the program has rested for long', () => {
+  it('expire after the program has been idle', () => {
     const ledger = new Ledger();
-    ranAt(ledger, 'a', 's', 'e1');
+    recordPlacement(ledger, 'a', 's', 'e1');
     ledger.nowMs = 10 * 60_000;
     expect(ledger.reserve('b', { session: 's' }).lastBackend).toBeUndefined();
   });
 });
 
 describe('settlement queue', () => {
-  it('gives settlements out once, and again when they were put back', () => {
+  it('returns each settlement once, and again after it was requeued', () => {
     const queue = new SettlementQueue();
     queue.add({ program: 'p', attempt: 'a', spentTokens: 1 });
     queue.add({ program: 'p', attempt: 'b', spentTokens: 2 });
@@ -315,7 +320,7 @@
 });
 
 describe('history cache', () => {
-  it('continues what it has and forgets the oldest beyond its bound', () => {
+  it('extends cached histories and evicts the oldest beyond its limit', () => {
     const cache = new TurnHistoryCache(12);
     cache.add('a', undefined, Buffer.from('i'), Buffer.from('o'));
     cache.add('b', cache.find('a'), Buffer.from('j'), Buffer.from('p'));
--- a/src/ledger/loss-reports-replaced-member.test.ts
+++ b/src/ledger/loss-reports-replaced-member.test.ts
@@ -1,4 +1,4 @@
-/** Who counts when members say that they have lost a turn's value. */
+/** Reports of lost values must be attributed to the member that responded, not to its address. */
 import { describe, expect, it } from 'vitest';
 import { MemoryValues } from '../../tests/support/memory-values.js';
 import type { Member } from '../consensus/index.js';
@@ -17,12 +17,12 @@
   state: LedgerStateMachine;
 }
 
-/** A member whose state names the turn and whose store may lack it. */
-function memberWithState(id: string, hasValue: boolean): Holder {
+/** A member whose state contains the turn and whose store may lack its value. */
+function createHolder(id: string, hasValue: boolean): Holder {
   const values = new MemoryValues();
   const state = new LedgerStateMachine({
     values,
-    readTurnsAt: () => Promise.reject(new Error('asks nobody')),
+    readTurnsAt: () => Promise.reject(new Error('has no peers')),
     logger: createLogger({ test: 'loss-reports' }),
   });
   const keep = { input: Buffer.from('in'), output: Buffer.from('out'), retentionMs: RETENTION_MS };
@@ -38,15 +38,13 @@
 
 describe('a value that a voter may still hold', () => {
   /**
-   * Of three voters one has lost a value, one is out of reach and may hold it, and the third is gone with its disk.
-   * At the third one's address its renewed member answers, a learner that lacks the value as well. The question
-   * goes to an address: where the learner's word counts as the old voter's, two of three have lost the value, and the
-   * member that asks gives it up.
+   * A learner at the address of a replaced voter reports a value as lost. If the report were counted for the voter, a
+   * majority would have lost the value, although the unreachable third voter may still hold it.
    */
-  it('is not given up by the word of a learner at the address of a voter that is gone', async () => {
+  it('is not abandoned because of a report by a learner at the address of a replaced voter', async () => {
     const holders = new Map([
-      ['one', memberWithState('first', false)],
-      ['two', memberWithState('second-renewed', false)],
+      ['one', createHolder('first', false)],
+      ['two', createHolder('second-renewed', false)],
     ]);
     const sources = [
       member('first', 'one', 'voter'),
@@ -54,11 +52,11 @@
       member('second-renewed', 'two', 'learner'),
       member('third', 'three', 'voter'),
     ];
-    const asking = new LedgerStateMachine({
+    const requester = new LedgerStateMachine({
       values: new MemoryValues(),
       readTurnsAt: async (address, request) => {
         const holder = holders.get(address);
-        if (!holder) throw new Error(`${address} is out of reach`);
+        if (!holder) throw new Error(`${address} is unreachable`);
         const answer = await holder.state.external.answer(request, true);
         return { ...answer, memberId: holder.id };
       },
@@ -66,7 +64,7 @@
     });
     const state = Buffer.concat([...holders.get('one')!.state.snapshot()]);
     const snapshot = { index: SNAPSHOT_INDEX, term: 1, configuration: new Uint8Array(0), state };
-    const fetched = asking.external.fetchMissing(snapshot, sources);
+    const fetched = requester.external.fetchMissing(snapshot, sources);
     await expect(fetched).rejects.toBeInstanceOf(TurnValuesMissingError);
   });
 });
--- a/src/ledger/loss-reports.ts
+++ b/src/ledger/loss-reports.ts
@@ -1,27 +1,27 @@
 /**
- * What members say of values that their state names and they have lost. A kept turn was on a majority of the
- * voters when it was committed: one that more than half of them have lost can't be waited for.
+ * Collects reports of members about values that they have lost. A majority of the voters stored a value when
+ * its turn was committed; once a majority reports it lost, it is considered unrecoverable.
  */
 import type { Member } from '../consensus/index.js';
 
 export class LossReports {
-  /** Ids of the voters that have lost a turn's value, by the turn. */
-  private readonly voters = new Map<string, Set<string>>();
+  /** Ids of the voters that have lost a turn's value, by turn id. */
+  private readonly reportersByTurn = new Map<string, Set<string>>();
 
-  /** @param answeredBy identity of the member that answered at the asked one's address */
+  /** @param answeredBy id of the member that responded at the address of the queried member */
   add({ id, role }: Member, answeredBy: string | undefined, turns: readonly string[]): void {
     if (role !== 'voter' || answeredBy !== id) return;
     for (const turn of turns) {
-      const known = this.voters.get(turn);
+      const known = this.reportersByTurn.get(turn);
       if (known) known.add(id);
-      else this.voters.set(turn, new Set([id]));
+      else this.reportersByTurn.set(turn, new Set([id]));
     }
   }
 
-  /** Turns whose values more than half of the voters among these members have lost. */
+  /** Ids of the turns whose values were lost by more than half of the voters among these members. */
   lostByMajorityOf(members: readonly Member[]): string[] {
     const voterCount = members.filter(({ role }) => role === 'voter').length;
-    return [...this.voters]
+    return [...this.reportersByTurn]
       .filter(([, reporters]) => reporters.size > voterCount / 2)
       .map(([turn]) => turn);
   }
--- a/src/ledger/member-power-loss.test.ts
+++ b/src/ledger/member-power-loss.test.ts
@@ -1,7 +1,4 @@
-/**
- * One member's snapshots and log over a process that is killed between two steps which belong together, and a
- * machine that loses its power later.
- */
+/** Consistency of a member's snapshots and log after a kill between two dependent disk operations. */
 import { describe, expect, it, onTestFinished, vi } from 'vitest';
 import { GROUP } from '../../tests/support/consensus-cluster.js';
 import { LoopbackNetwork } from '../../tests/support/loopback-network.js';
@@ -28,10 +25,10 @@
 const TERM = 2;
 const CALL_LIMITS = { timeoutMs: 5_000 };
 const SNAPSHOT_EVERY_ENTRIES = 4;
-/** The follower never stands for an election by itself. */
-const NEVER_MS = 600_000;
-/** A leader that probes, sends its snapshot and goes on behind it needs no more messages than this. */
-const MOST_MESSAGES = 6;
+/** Long enough that the follower never starts an election. */
+const NO_ELECTION_MS = 600_000;
+/** Enough messages for a leader to probe, send its snapshot and append after it. */
+const MAX_MESSAGES = 6;
 
 function founder(name: string): Member {
   return { id: `${name}-id`, name, address: name, role: 'voter' };
@@ -49,12 +46,12 @@
   return Array.from({ length: last - 1 }, (_, place) => `item-${place + 2}`);
 }
 
-/** A real member on a simulated disk, and a leader that the test plays. */
+/** A real follower on a simulated disk with a scripted leader. */
 class FollowerOfScript {
   private readonly network = new LoopbackNetwork();
   private readonly peers: PeerCaller = this.network.peersOf(LEADER.address);
 
-  /** @param isFounder whether it writes the group's first entry itself */
+  /** @param isFounder whether the follower writes the group's first entry itself */
   constructor(
     readonly disk: SimulatedDisk,
     private readonly isFounder = true,
@@ -65,7 +62,7 @@
   start(): Promise<RunningListMember> {
     const { disk, network } = this;
     const consensus = {
-      electionTimeoutMs: NEVER_MS,
+      electionTimeoutMs: NO_ELECTION_MS,
       snapshotEveryEntries: SNAPSHOT_EVERY_ENTRIES,
     };
     const founders = this.isFounder ? FOUNDERS : [];
@@ -88,9 +85,9 @@
     await this.peers.call(FOLLOWER.address, SNAPSHOT, { ...this.head, ...whole }, CALL_LIMITS);
   }
 
-  /** As a leader does whose log begins behind a snapshot. @returns whether the follower took the entry */
+  /** Acts as a leader whose log starts after a snapshot. @returns whether the follower accepted the entry */
   async bringPastSnapshot(index: number): Promise<boolean> {
-    for (let messages = 0; messages < MOST_MESSAGES; messages += 2) {
+    for (let messages = 0; messages < MAX_MESSAGES; messages += 2) {
       const { success } = await this.append(commands(index + 1, index + 1), index, index);
       if (success) return true;
       await this.sendSnapshot(index);
@@ -105,7 +102,7 @@
 
 const LOG_WRITE = 'write /data/log/segment-0000000001.log';
 
-/** The follower holds entries up to the fifth; it is killed once it has stored a snapshot up to the tenth. */
+/** Kills a follower with entries up to 5 after it has stored a snapshot up to 10, before it compacts its log. */
 async function killBetweenSnapshotAndLog(script: FollowerOfScript): Promise<void> {
   await script.start();
   await script.append(commands(2, 5), 1, 1);
@@ -114,14 +111,12 @@
   expect(script.disk.list()).toContain(`/data/snapshots/snapshot-${GROUP}`);
 }
 
-describe('a member that was killed between storing the snapshot of its leader and letting its log go', () => {
+describe('a member that was killed between storing a snapshot of its leader and compacting its log', () => {
   /**
-   * Two of three machines lost their power and the third its disk, while one of the two was being sent a snapshot.
-   * That one came back with the snapshot's state and a log that ended before it. It took the leader's snapshot for
-   * one that it had and refused the entries behind it, again and again: `append to member-1 refused
-   * {"matchIndex":38}` with `lastIndex 38, appliedIndex 63`. The group committed nothing any more.
+   * Restarts with a log that ends before the snapshot. The member must not refuse the entries after the snapshot
+   * forever, which would block all commits.
    */
-  it('goes on behind the snapshot when the leader holds nothing before it', async () => {
+  it('continues after the snapshot if the leader has compacted the entries before it', async () => {
     const script = new FollowerOfScript(new SimulatedDisk('member', { seed: 1 }));
     await killBetweenSnapshotAndLog(script);
     const { machine, fatal } = await script.start();
@@ -130,11 +125,8 @@
     expect(fatal).toEqual([]);
   });
 
-  /**
-   * The same member, with a leader whose log still reaches back to where the member's ends: the first entry that the
-   * leader sent lay before the member's commit index, and the process ended by itself, after each start again.
-   */
-  it('goes on behind the snapshot when the leader still holds the entries before it', async () => {
+  /** Entries before the member's commit index must not make the process exit. */
+  it('continues after the snapshot if the leader still has the entries before it', async () => {
     const script = new FollowerOfScript(new SimulatedDisk('member', { seed: 1 }));
     await killBetweenSnapshotAndLog(script);
     const { machine, fatal } = await script.start();
@@ -144,11 +136,8 @@
     expect(machine.items).toEqual(itemsUpTo(11));
   });
 
-  /**
-   * A member that comes new may be sent a snapshot before anything else. A snapshot that is stored before the term of its
-   * leader is would look at the next start like one whose log is gone.
-   */
-  it('starts again where the snapshot was the first that it was sent', async () => {
+  /** A snapshot that is stored before the leader's term must not look like one with a missing log after a restart. */
+  it('restarts if the snapshot was the first message that it received', async () => {
     const script = new FollowerOfScript(new SimulatedDisk('member', { seed: 1 }), false);
     await script.start();
     script.disk.killBefore = LOG_WRITE;
@@ -159,8 +148,8 @@
     expect(fatal).toEqual([]);
   });
 
-  /** Entries of an earlier leader, which the snapshot replaces, must not be taken for what was committed. */
-  it('lets entries go that the snapshot contradicts', async () => {
+  /** Uncommitted entries of an earlier leader must not be taken for committed ones. */
+  it('discards entries that conflict with the snapshot', async () => {
     const script = new FollowerOfScript(new SimulatedDisk('member', { seed: 1 }));
     await script.start();
     await script.append(commands(2, 12, 1), 1, 1);
@@ -175,11 +164,10 @@
 
 describe('a member that was killed between renaming its snapshot and syncing the folder', () => {
   /**
-   * The next process read the new snapshot, so that a snapshot of the same index was not written again; the log was
-   * told to let go what the snapshot covers. Then the power went, and with it the new name of the file: the start after
-   * that found the snapshot before, or none, and refused: `snapshot behind index 5 is missing`.
+   * The next process reads the renamed snapshot and compacts its log. If the rename is not synced first, a power failure
+   * reverts it, and the member cannot start because entries are missing.
    */
-  it('does not let its log go for a snapshot that a loss of power takes back', async () => {
+  it('does not compact its log for a snapshot that a power failure can revert', async () => {
     const script = new FollowerOfScript(new SimulatedDisk('member', { seed: 1 }));
     await script.start();
     script.disk.killBefore = 'sync folder /data/snapshots';
--- a/src/ledger/messages.ts
+++ b/src/ledger/messages.ts
@@ -1,4 +1,4 @@
-/** Messages between gateways and the ledger's leader. */
+/** RPC methods and messages of the ledger. */
 import type { LeaderAnswer } from '../consensus/index.js';
 import { defineMethod } from '../wire/index.js';
 import type { ReserveCommand, ReserveResult, SettleCommand } from './ledger-commands.js';
@@ -6,98 +6,98 @@
 export const LEDGER_GROUP = 'ledger';
 
 export interface ReserveRequest extends Omit<ReserveCommand, 'kind' | 'nowMs'> {
-  /** Whether the answer should carry what the turn continues from. */
+  /** Whether the response should include the history of the turn. */
   wantsHistory: boolean;
-  /** Whether the answer may name members to read it at instead. */
+  /** Whether the response may list members to read the history from instead. */
   mayReadElsewhere?: boolean;
   /** Version of the copy targets that the gateway knows. */
   copyTargets?: string;
 }
 
-/** Where a gateway sends values of kept turns beside the leader: the voters that follow it. */
+/** The followers with a vote, to which a gateway sends copies of the values of kept turns. */
 export interface CopyTargets {
-  /** Changes with the leader and with the members. */
+  /** Changes with each change of the leader or of the members. */
   version: string;
   addresses: string[];
 }
 
-/** Where a history can be read. */
+/** Members that a history can be read from. */
 export interface HistorySource {
-  /** Members that hold it. */
+  /** Addresses of members that hold the history. */
   addresses: string[];
-  /** Log index from which on their state names it. */
+  /** Log index of the entry that added the turn. */
   atIndex: number;
 }
 
-/** Why a turn that is reserved comes without its history: the turns are kept, their values can't be had now. */
+/** Why the history of a reserved turn is unavailable: its turns are kept, but values are missing. */
 export interface MissingHistory {
-  /** In words, for logs. */
+  /** Description for logs. */
   reason: string;
   /**
-   * How long a member that may hold it has not answered the leader, in milliseconds; absent when all members answer
-   * and none holds it.
+   * Time since the latest contact with an unreachable member that may hold it, in milliseconds; absent if all members
+   * respond and none holds it.
    */
   silentMs?: number;
 }
 
 export interface ReserveResponse extends ReserveResult {
-  /** What the turn continues from, oldest first, when it names a predecessor. */
+  /** History of the turn, oldest first, if it has a predecessor. */
   history?: Uint8Array;
-  /** In place of a history that the leader could not get. */
+  /** Present instead of a history that the leader could not read. */
   missingHistory?: MissingHistory;
-  /** Where to read it, in place of it. */
+  /** Present instead of the history if it is to be read from these members. */
   historySource?: HistorySource;
-  /** Present where the gateway knows others. */
+  /** Present if the gateway's version is outdated. */
   copyTargets?: CopyTargets;
 }
 
 export interface SettleRequest extends Omit<SettleCommand, 'kind' | 'nowMs'> {
-  /** Version of the copy targets to which the values were sent as well; absent when they were not. */
+  /** Version of the copy targets that the gateway sent the values to; absent if it sent none. */
   copiedTo?: string;
-  /** Whether the gateway sends values to the followers itself once it is told who they are. */
+  /** Whether the gateway can send the values to the followers itself. */
   canCopy?: boolean;
 }
 
 export interface SettleResponse {
-  /** False where nothing was done: the gateway is to send the values to the targets and to ask again. */
+  /** False if nothing was settled: the gateway must send the values to the targets and retry. */
   isSettled: boolean;
-  /** Present where the gateway sent values to others, or to none. */
+  /** Present if the gateway did not send the values to the current targets. */
   copyTargets?: CopyTargets;
 }
 
-/** Asks a member for values of kept turns that the sender lacks. */
+/** Requests values of kept turns from a member. */
 export interface ReadTurnsRequest {
   turns: string[];
-  /** The state that names the turns is of this log index; absent when turns that are over don't matter. */
+  /** Log index of the state that refers to the turns; absent if expired turns need not be reported. */
   atIndex?: number;
 }
 
 export interface ReadTurnsResponse {
-  /** Identity of the member that answers, which its address does not tell once a disk was lost. */
+  /** Id of the responding member. The address alone is ambiguous, as a replaced member reuses it. */
   memberId?: string;
-  /** Id of the turn, and its input followed by its output. */
+  /** Turn ids with their values: input followed by output. */
   values: [string, Uint8Array][];
-  /** Turns that were over by the member's state, which is not older than the sender's. */
+  /** Turns that have expired in the member's state, which is at least as recent as the sender's. */
   expired: string[];
-  /** Turns that the member's state names, not older than the sender's, and whose values it has lost. */
+  /** Turns of the member's state whose values it has lost; the state is at least as recent as the sender's. */
   lost: string[];
-  /** So many of the turns, from the first on, were looked up. */
+  /** Number of turns, from the first on, that the response covers. */
   covered: number;
 }
 
-/** Asks a member that holds them for a turn with all that it continues. */
+/** Requests the history up to and including a turn. */
 export interface ReadHistoryRequest {
   turn: string;
-  /** The member answers once it has applied the log up to here. */
+  /** Log index that the member must have applied before it responds. */
   atIndex: number;
 }
 
 export interface ReadHistoryResponse {
-  /** Absent when this member can't give it now. */
+  /** Absent if this member cannot provide it now. */
   history?: Uint8Array;
 }
 
-/** Brings a follower the value of a turn ahead of the log entry that names it. */
+/** Sends a follower the value of a turn ahead of the log entry that refers to it. */
 export interface TakeCopyNotice {
   turn: string;
   /** The turn's input followed by its output. */
--- a/src/ledger/program-budgets.ts
+++ b/src/ledger/program-budgets.ts
@@ -1,22 +1,22 @@
 /**
- * What programs have spent and reserved, and the allowances that let a gateway go on with a program
- * for a moment while the ledger can't be reached. An allowance counts as committed from its grant
- * on, so a gateway that dies with one can't lead to spending beyond the budget.
+ * Accounts of programs: spent and reserved tokens, and the allowances that let a gateway run turns
+ * while the ledger is unreachable. Granted allowances count as committed, so a gateway that crashes
+ * with one cannot cause spending beyond the budget.
  */
 import type { ReserveCommand, Settlement } from './ledger-commands.js';
 
 interface ProgramAccount {
   spentTokens: number;
-  /** Open reservations by attempt. */
+  /** Open reservations, in tokens, by attempt. */
   reserved: Map<string, number>;
-  /** Allowances by holder. */
+  /** Allowances, in tokens, by holder. */
   allowances: Map<string, number>;
-  /** Attempts that are settled, so that a late copy of a reservation opens nothing. */
+  /** Settled attempts, so that a delayed duplicate of a reservation has no effect. */
   settled: Set<string>;
   touchedAtMs: number;
 }
 
-/** The account in plain lists. */
+/** Encoding of an account in a snapshot. */
 export interface EncodedAccount {
   program: string;
   spentTokens: number;
@@ -26,31 +26,31 @@
   touchedAtMs: number;
 }
 
-/** A program that has not been heard of for so long is over, in milliseconds. */
-const FORGET_AFTER_MS = 15 * 60_000;
-/** All allowances of a program together are this share of its budget at most. */
-const ALLOWANCE_SHARE = 0.25;
-/** An allowance is meant to hold so many turns at their most. */
-const ALLOWANCE_TURNS = 2;
+/** Time after its last use at which an account is removed, in milliseconds. */
+const ACCOUNT_RETENTION_MS = 15 * 60_000;
+/** Maximum share of a program's budget that all its allowances may take. */
+const MAX_ALLOWANCE_SHARE = 0.25;
+/** Number of turns, at their maximum tokens, that an allowance is sized for. */
+const TURNS_PER_ALLOWANCE = 2;
 
 export class ProgramBudgets {
   private accounts = new Map<string, ProgramAccount>();
 
-  /** Whether the reservation stands; a repeated one always does. */
+  /** @returns whether the reservation was granted; a duplicate always is */
   reserve(command: ReserveCommand): boolean {
     const account = this.account(command.program, command.nowMs);
     const { attempt, mostTokens, budgetTokens, holder } = command;
     if (account.reserved.has(attempt) || account.settled.has(attempt)) return true;
     if (budgetTokens !== undefined) {
-      const lacking = committedOf(account) + mostTokens - budgetTokens;
-      if (lacking > 0 && !takeBack(account, holder, lacking)) return false;
+      const shortfall = committedOf(account) + mostTokens - budgetTokens;
+      if (shortfall > 0 && !reclaimAllowance(account, holder, shortfall)) return false;
     }
     account.reserved.set(attempt, mostTokens);
     return true;
   }
 
   /**
-   * Raises the holder's allowance where the budget has room to spare.
+   * Raises the holder's allowance if the budget permits.
    * @returns the holder's allowance, in tokens
    */
   grantAllowance({ program, holder, budgetTokens, mostTokens }: ReserveCommand): number {
@@ -59,8 +59,8 @@
     const own = account.allowances.get(holder) ?? 0;
     const granted = sum(account.allowances.values());
     const room = Math.min(
-      mostTokens * ALLOWANCE_TURNS - own,
-      budgetTokens * ALLOWANCE_SHARE - granted,
+      mostTokens * TURNS_PER_ALLOWANCE - own,
+      budgetTokens * MAX_ALLOWANCE_SHARE - granted,
       budgetTokens - committedOf(account),
     );
     const raised = own + Math.floor(Math.max(0, room));
@@ -88,7 +88,7 @@
 
   expire(nowMs: number): void {
     for (const [program, account] of this.accounts) {
-      if (account.touchedAtMs + FORGET_AFTER_MS < nowMs) this.accounts.delete(program);
+      if (account.touchedAtMs + ACCOUNT_RETENTION_MS < nowMs) this.accounts.delete(program);
     }
   }
 
@@ -139,8 +139,12 @@
   return account.spentTokens + sum(account.reserved.values()) + sum(account.allowances.values());
 }
 
-/** Takes tokens back out of the allowance of the one that asks. */
-function takeBack(account: ProgramAccount, holder: string | undefined, tokens: number): boolean {
+/** Reclaims tokens from the allowance of the holder that makes the reservation. */
+function reclaimAllowance(
+  account: ProgramAccount,
+  holder: string | undefined,
+  tokens: number,
+): boolean {
   if (holder === undefined) return false;
   const own = account.allowances.get(holder) ?? 0;
   if (own < tokens) return false;
--- a/src/ledger/program-placements.ts
+++ b/src/ledger/program-placements.ts
@@ -1,6 +1,6 @@
 /**
- * Which back end served the latest turn of each session, and so most likely still holds its prompt.
- * Turns of one session come through several gateways; this is where they learn of one another.
+ * Tracks which backend served the latest turn of each session, and thus most likely has its prompt
+ * cached. Shared by all gateways, since the turns of a session can arrive at different gateways.
  */
 
 /** Where a turn ran. */
@@ -15,7 +15,7 @@
   notedAtMs: number;
 }
 
-/** The entry of a program in plain lists. */
+/** Encoding of a program's placements in a snapshot. */
 export interface EncodedPlacements {
   program: string;
   latestBackend: string;
@@ -23,8 +23,8 @@
   notedAtMs: number;
 }
 
-/** Back ends do not keep the prompt of a program that rested for so long, in milliseconds. */
-const FORGET_AFTER_MS = 2 * 60_000;
+/** Idle time after which a program's prompts are no longer expected in caches, in milliseconds. */
+const PLACEMENT_RETENTION_MS = 2 * 60_000;
 
 export class ProgramPlacements {
   private programs = new Map<string, ProgramEntry>();
@@ -41,8 +41,8 @@
   }
 
   /**
-   * The back end of the session's latest turn. A session that is new begins with the prompt of the
-   * program's others, so it is told their latest.
+   * Returns the backend of the session's latest turn. A new session shares its prompt prefix with the
+   * other sessions of the program, so the program's latest backend is returned for it.
    */
   find(program: string, session: string | undefined): string | undefined {
     const entry = this.programs.get(program);
@@ -53,7 +53,7 @@
 
   expire(nowMs: number): void {
     for (const [program, { notedAtMs }] of this.programs) {
-      if (notedAtMs + FORGET_AFTER_MS < nowMs) this.programs.delete(program);
+      if (notedAtMs + PLACEMENT_RETENTION_MS < nowMs) this.programs.delete(program);
     }
   }
 
@@ -66,7 +66,7 @@
     }));
   }
 
-  /** @param encoded absent in snapshots that were written before placements were kept */
+  /** @param encoded absent in snapshots of versions without placements */
   restore(encoded: EncodedPlacements[] | undefined): void {
     this.programs = new Map(
       (encoded ?? []).map(({ program, latestBackend, bySession, notedAtMs }) => [
--- a/src/ledger/reservation-attempt.ts
+++ b/src/ledger/reservation-attempt.ts
@@ -1,4 +1,4 @@
-/** One turn's way to its reservation and, where it continues another turn, to its history. */
+/** Reserves one turn and, if it continues another turn, reads its history. */
 import { describeError, monotonicMs, sleep } from '../common/index.js';
 import type { Logger } from '../observability/index.js';
 import type { HistoryReader } from './history-reader.js';
@@ -6,29 +6,26 @@
 import type { HistorySource, MissingHistory, ReserveResponse, ReserveRequest } from './messages.js';
 import type { ReservationTrace } from './reservation-trace.js';
 
-/** Share of a reservation's time for reading a history elsewhere, so that the leader can still be asked for it. */
-const READ_SHARE = 0.5;
-/**
- * Pause before a history is asked for again whose member does not answer, in milliseconds: a fraction of the time in
- * which a process is back.
- */
-const ASK_AGAIN_MS = 250;
+/** Share of the time limit for reading the history from followers; the rest is for asking the leader. */
+const HISTORY_READ_SHARE = 0.5;
+/** Delay between retries while a member that may hold the history is unreachable, in milliseconds. */
+const HISTORY_RETRY_DELAY_MS = 250;
 
-/** What a turn asks for. */
+/** A reservation request without the fields that the client adds. */
 export type TurnRequest = Omit<ReserveRequest, 'holder' | 'settlements'>;
 
 export interface ReservationAttemptOptions {
   request: TurnRequest;
-  /** How long an answer is of any use, in milliseconds. */
+  /** Time after which the response is of no use, in milliseconds. */
   limitMs: number;
-  steps: ReservationTrace;
-  /** Asks the ledger's leader. */
+  trace: ReservationTrace;
+  /** Sends a request to the ledger's leader. */
   sendRequest: (
     request: TurnRequest,
     limitMs: number,
-    steps: ReservationTrace,
+    trace: ReservationTrace,
   ) => Promise<ReserveResponse>;
-  /** Reads histories at members that don't lead; without it the leader sends them. */
+  /** Reads histories from followers; if absent, the leader sends them. */
   histories: HistoryReader | undefined;
   logger: Logger;
 }
@@ -41,71 +38,71 @@
   }
 
   /**
-   * The history is read at another member, and asked of the leader only where none gave it.
+   * Reserves the turn. The history is read from a follower, or from the leader if no follower returns it.
    * @throws NotReservedError, MaybeReservedError, GroupUnavailableError, HistoryMissingError
    */
   async run(): Promise<ReserveResponse> {
-    const { request, histories, steps, sendRequest } = this.options;
+    const { request, histories, trace, sendRequest } = this.options;
     const mayReadElsewhere = histories !== undefined;
-    const answer = await sendRequest({ ...request, mayReadElsewhere }, this.leftMs, steps);
+    const answer = await sendRequest({ ...request, mayReadElsewhere }, this.remainingMs, trace);
     const { historySource, missingHistory } = answer;
     if (missingHistory) return this.waitForHistory(missingHistory);
     if (!historySource) return answer;
-    const history = await this.readElsewhere(historySource);
+    const history = await this.readFromFollower(historySource);
     if (history) return { ...answer, history };
-    const last = await this.askOnceMore();
+    const last = await this.retryRequest();
     return last.missingHistory ? this.waitForHistory(last.missingHistory) : last;
   }
 
-  private get leftMs(): number {
+  private get remainingMs(): number {
     return Math.max(1, this.deadlineMs - monotonicMs());
   }
 
-  /** @returns nothing where no member gave it */
-  private async readElsewhere(source: HistorySource): Promise<Uint8Array | undefined> {
-    const { request, histories, limitMs, steps, logger } = this.options;
+  /** @returns undefined if no follower returned the history */
+  private async readFromFollower(source: HistorySource): Promise<Uint8Array | undefined> {
+    const { request, histories, limitMs, trace, logger } = this.options;
     const { previousTurn: turn } = request;
     if (!histories || turn === undefined) return undefined;
     const startedAt = monotonicMs();
     try {
-      const { history, address } = await histories.read(turn, source, limitMs * READ_SHARE);
-      steps.historyFrom = address;
+      const { history, address } = await histories.read(turn, source, limitMs * HISTORY_READ_SHARE);
+      trace.historyFrom = address;
       return history;
     } catch (error) {
       logger.info('history asked of the leader', { turn, reason: describeError(error) });
       return undefined;
     } finally {
-      steps.times.historyMs += monotonicMs() - startedAt;
+      trace.times.historyMs += monotonicMs() - startedAt;
     }
   }
 
   /**
-   * A member that may hold the history and does not answer may be on its way back: that is worth waiting for, unless it
-   * has been away for longer than the turn has left.
+   * Retries while a member that may hold the history is unreachable, unless it has been unreachable for longer than
+   * the remaining time.
    */
   private async waitForHistory(missing: MissingHistory): Promise<ReserveResponse> {
-    const { steps } = this.options;
+    const { trace } = this.options;
     let latest = missing;
     for (;;) {
       const { silentMs = Infinity } = latest;
-      if (Math.max(silentMs, ASK_AGAIN_MS) >= this.leftMs) {
-        steps.failedStep = 'read-history';
+      if (Math.max(silentMs, HISTORY_RETRY_DELAY_MS) >= this.remainingMs) {
+        trace.failedStep = 'read-history';
         throw HistoryMissingError.of(latest);
       }
-      await sleep(ASK_AGAIN_MS);
-      steps.times.historyMs += ASK_AGAIN_MS;
-      const answer = await this.askOnceMore();
+      await sleep(HISTORY_RETRY_DELAY_MS);
+      trace.times.historyMs += HISTORY_RETRY_DELAY_MS;
+      const answer = await this.retryRequest();
       if (!answer.missingHistory) return answer;
       latest = answer.missingHistory;
     }
   }
 
-  /** For a turn that is reserved already: whatever comes of it, the reservation may stand. */
-  private async askOnceMore(): Promise<ReserveResponse> {
-    const { request, steps, sendRequest } = this.options;
+  /** Repeats the request of a reserved turn. A failure leaves open whether the reservation is committed. */
+  private async retryRequest(): Promise<ReserveResponse> {
+    const { request, trace, sendRequest } = this.options;
     try {
-      const answer = await sendRequest(request, this.leftMs, steps);
-      if (answer.history) steps.historyFrom = steps.leader;
+      const answer = await sendRequest(request, this.remainingMs, trace);
+      if (answer.history) trace.historyFrom = trace.leader;
       return answer;
     } catch (error) {
       if (!(error instanceof NotReservedError)) throw error;
--- a/src/ledger/reservation-trace.ts
+++ b/src/ledger/reservation-trace.ts
@@ -1,29 +1,29 @@
-/** The steps of one reservation: which took the time, and at which one it failed, for the log line of its call. */
+/** Timings of one reservation and the step at which it failed, for the log entry of its call. */
 import type { HeardLeader } from '../consensus/index.js';
 
-/** In their order; each needs those before it. */
+/** Steps of a reservation, in order. */
 export type ReservationStep = 'find-leader' | 'enter-window' | 'commit' | 'read-history';
 
-/** Where the time of a reservation went, in milliseconds. */
+/** Time spent in each part of a reservation, in milliseconds. */
 export interface ReservationTimings {
-  /** In this gateway, until there was room for one more question. */
+  /** Waiting for the reservation window of this gateway. */
   windowMs: number;
-  /** At the ledger's leader, the way there and back included. */
+  /** Requests to the ledger's leader, including network time. */
   leaderMs: number;
-  /** Reading the history at another member, and waiting for one that may hold it. */
+  /** Reading the history from followers, and waiting for an unreachable member that may hold it. */
   historyMs: number;
 }
 
 export class ReservationTrace {
   readonly times: ReservationTimings = { windowMs: 0, leaderMs: 0, historyMs: 0 };
-  /** Questions that were put to the ledger. */
+  /** Requests sent to the ledger. */
   requestCount = 0;
-  /** What this gateway knew of the leader before it asked. */
+  /** The leader that this gateway knew of before the reservation. */
   knownLeader: HeardLeader | undefined;
-  /** Who answered as the leader. */
+  /** Address of the leader that responded. */
   leader: string | undefined;
-  /** The member that gave the history. */
+  /** Address of the member that returned the history. */
   historyFrom: string | undefined;
-  /** The step that failed last. */
+  /** The step that failed last, if any. */
   failedStep: ReservationStep | undefined;
 }
--- a/src/ledger/reservation-window.test.ts
+++ b/src/ledger/reservation-window.test.ts
@@ -1,4 +1,4 @@
-/** How many reservations are under way at once, and which of those that wait goes next. */
+/** Size of the reservation window and the order of admission. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { ReservationWindow } from './reservation-window.js';
 
@@ -12,7 +12,7 @@
 class Turns {
   isSilent = false;
   readonly window = new ReservationWindow(() => this.isSilent);
-  /** Turns that were let in, in order, and those that were not. */
+  /** Turns that were admitted, in order, and turns that were refused. */
   readonly entered: number[] = [];
   readonly refused: number[] = [];
 
@@ -25,7 +25,7 @@
     await vi.advanceTimersByTimeAsync(0);
   }
 
-  async answer(tookMs: number): Promise<void> {
+  async respond(tookMs: number): Promise<void> {
     this.window.leaveAnswered(tookMs);
     await vi.advanceTimersByTimeAsync(0);
   }
@@ -34,27 +34,27 @@
 const numbers = (from: number, to: number): number[] =>
   Array.from({ length: to - from + 1 }, (_, index) => from + index);
 
-describe('a window of reservations', () => {
-  it('lets sixteen in at once, and the oldest next, while answers come soon', async () => {
+describe('the reservation window', () => {
+  it('admits sixteen requests, in FIFO order, while responses are fast', async () => {
     const turns = new Turns();
     await turns.arrive(...numbers(1, 20));
     expect(turns.entered).toEqual(numbers(1, 16));
-    await turns.answer(FAST_MS);
+    await turns.respond(FAST_MS);
     expect(turns.entered.at(-1)).toBe(17);
   });
 
-  it('comes down to four while answers are slow, and goes up again', async () => {
+  it('shrinks to four while responses are slow, and grows again', async () => {
     const turns = new Turns();
     await turns.arrive(...numbers(1, 16));
-    for (let answered = 0; answered < 16; answered += 1) await turns.answer(SLOW_MS);
+    for (let count = 0; count < 16; count += 1) await turns.respond(SLOW_MS);
     await turns.arrive(...numbers(17, 40));
     expect(turns.entered.length).toBe(16 + 4);
-    await turns.answer(FAST_MS);
-    await turns.answer(FAST_MS);
+    await turns.respond(FAST_MS);
+    await turns.respond(FAST_MS);
     expect(turns.entered.length).toBe(16 + 4 + 2 + 2);
   });
 
-  it('lets one in while the ledger is silent, then twice as many with each round', async () => {
+  it('admits one request while the ledger is silent, then doubles with each round of responses', async () => {
     const turns = new Turns();
     turns.isSilent = true;
     await turns.arrive(1, 2, 3);
@@ -64,14 +64,14 @@
     expect(turns.entered).toEqual([1, 3]);
     turns.isSilent = false;
     await turns.arrive(4, 5, 6, 7);
-    await turns.answer(FAST_MS);
+    await turns.respond(FAST_MS);
     expect(turns.entered).toEqual([1, 3, 7, 6]);
-    await turns.answer(FAST_MS);
-    await turns.answer(FAST_MS);
+    await turns.respond(FAST_MS);
+    await turns.respond(FAST_MS);
     expect(turns.entered.length).toBe(4 + 3);
   });
 
-  it('refuses a turn once an answer would hardly come in time', async () => {
+  it('refuses a turn once no response is expected in time', async () => {
     const turns = new Turns();
     await turns.arrive(0);
     turns.window.leaveFailed(USEFUL_MS);
--- a/src/ledger/reservation-window.ts
+++ b/src/ledger/reservation-window.ts
@@ -1,51 +1,51 @@
 /**
- * How many reservations of one gateway may be under way at the ledger. While it answers there is room for
- * plenty; a slow one is asked by fewer, and a silent one by one, however many turns wait, so that whoever
- * leads next isn't met by the questions of all gateways at once. The window opens again answer by answer.
+ * Limits the reservations of one gateway that are in flight at the ledger. The window shrinks while the
+ * ledger responds slowly and admits a single request while it is silent, so that a new leader is not
+ * overloaded by queued requests. It grows again with each fast response.
  */
 import { Deferred } from '../common/index.js';
 
-/** Reservations under way while the ledger answers soon: above what a busy gateway needs. */
-const MOST_UNDER_WAY = 16;
-/** The same while it is slow: what keeps it busy, however many gateways there are. */
-const MOST_WHILE_SLOW = 4;
-/** An answer that takes longer is slow, in milliseconds: a tenth of what turns of a second may wait. */
-const SLOW_ANSWER_MS = 100;
-/** Share of the latest answer in what one is expected to take. */
-const LATEST_SHARE = 0.3;
+/** Window size while the ledger responds quickly. */
+const MAX_WINDOW = 16;
+/** Window size that the window shrinks towards while the ledger responds slowly. */
+const SLOW_WINDOW = 4;
+/** Response time from which the ledger counts as slow, in milliseconds. */
+const SLOW_RESPONSE_MS = 100;
+/** Weight of the latest sample in the moving average of response times. */
+const SMOOTHING_FACTOR = 0.3;
 
 export class ReservationWindow {
-  private size = MOST_UNDER_WAY;
-  private underWay = 0;
+  private size = MAX_WINDOW;
+  private inFlight = 0;
   private expectedMs = 0;
   /** Oldest first. */
-  private readonly waiting: Deferred<boolean>[] = [];
+  private readonly waiters: Deferred<boolean>[] = [];
 
-  /** @param isSilent whether the ledger has owed an answer for too long */
+  /** @param isSilent whether a response of the ledger is overdue */
   constructor(private readonly isSilent: () => boolean) {}
 
-  /** Whether a question is under way. */
   get hasRequestInFlight(): boolean {
-    return this.underWay > 0;
+    return this.inFlight > 0;
   }
 
-  /** What an answer takes, in milliseconds. */
+  /** Moving average of response times, in milliseconds. */
   get expectedResponseMs(): number {
     return this.expectedMs;
   }
 
   /**
-   * @param usefulMs how long an answer is of any use, in milliseconds
-   * @returns whether there was room while an answer could still come in time; whoever entered has to leave
+   * Waits for admission. A caller that was admitted must call one of the leave methods.
+   * @param usefulMs time after which the response is of no use, in milliseconds
+   * @returns false if a response is not expected in time any more
    */
   async enter(usefulMs: number): Promise<boolean> {
-    if (this.waiting.length === 0 && this.hasRoom) {
-      this.underWay += 1;
+    if (this.waiters.length === 0 && this.hasRoom) {
+      this.inFlight += 1;
       return true;
     }
     const entered = new Deferred<boolean>();
-    this.waiting.push(entered);
-    const timer = setTimeout(() => this.giveUp(entered), usefulMs - this.expectedMs);
+    this.waiters.push(entered);
+    const timer = setTimeout(() => this.abandon(entered), usefulMs - this.expectedMs);
     try {
       return await entered.promise;
     } finally {
@@ -53,51 +53,51 @@
     }
   }
 
-  /** The ledger has answered. */
+  /** Records a response of the ledger. */
   leaveAnswered(tookMs: number): void {
-    this.expectedMs += (tookMs - this.expectedMs) * LATEST_SHARE;
-    if (tookMs < SLOW_ANSWER_MS) this.size = Math.min(MOST_UNDER_WAY, this.size + 1);
-    else this.size = stepTowards(this.size, MOST_WHILE_SLOW);
+    this.expectedMs += (tookMs - this.expectedMs) * SMOOTHING_FACTOR;
+    if (tookMs < SLOW_RESPONSE_MS) this.size = Math.min(MAX_WINDOW, this.size + 1);
+    else this.size = stepTowards(this.size, SLOW_WINDOW);
     this.leave();
   }
 
-  /** The ledger has answered, after a time that does not tell how busy it is. */
+  /** Records a response whose time does not reflect the ledger's load. */
   leaveUnmeasured(): void {
     this.leave();
   }
 
-  /** The ledger has not answered in time. */
+  /** Records a request that failed or timed out. */
   leaveFailed(tookMs: number): void {
-    this.expectedMs += Math.max(0, tookMs - this.expectedMs) * LATEST_SHARE;
+    this.expectedMs += Math.max(0, tookMs - this.expectedMs) * SMOOTHING_FACTOR;
     this.size = 1;
     this.leave();
   }
 
   private get hasRoom(): boolean {
-    return this.underWay < (this.isSilent() ? 1 : this.size);
+    return this.inFlight < (this.isSilent() ? 1 : this.size);
   }
 
   private leave(): void {
-    this.underWay -= 1;
-    while (this.waiting.length > 0 && this.hasRoom) {
-      this.underWay += 1;
-      this.next().resolve(true);
+    this.inFlight -= 1;
+    while (this.waiters.length > 0 && this.hasRoom) {
+      this.inFlight += 1;
+      this.takeWaiter().resolve(true);
     }
   }
 
   /**
-   * The newest while the window is narrow: in order, each would ask in the last moment of its time, and
-   * hear nothing before it is over.
+   * Takes the newest waiter while the window is reduced: in FIFO order each request would be sent just
+   * before its deadline and time out.
    */
-  private next(): Deferred<boolean> {
-    const isNarrow = this.size < MOST_UNDER_WAY;
-    return isNarrow ? this.waiting.pop()! : this.waiting.shift()!;
+  private takeWaiter(): Deferred<boolean> {
+    const isNarrow = this.size < MAX_WINDOW;
+    return isNarrow ? this.waiters.pop()! : this.waiters.shift()!;
   }
 
-  private giveUp(entered: Deferred<boolean>): void {
-    const index = this.waiting.indexOf(entered);
+  private abandon(entered: Deferred<boolean>): void {
+    const index = this.waiters.indexOf(entered);
     if (index < 0) return;
-    this.waiting.splice(index, 1);
+    this.waiters.splice(index, 1);
     entered.resolve(false);
   }
 }
--- a/src/ledger/settlement-queue.ts
+++ b/src/ledger/settlement-queue.ts
@@ -1,17 +1,17 @@
-/** Settlements that nobody waits for, until the ledger has taken note of them. */
+/** Queue of settlements without a waiting caller, until the ledger has committed them. */
 import { monotonicMs } from '../common/index.js';
 import type { Settlement } from './ledger-commands.js';
 
-const MAX_BATCH = 64;
-/** Settlements that could not be delivered for so long are given up: the reservation stands. */
-const GIVE_UP_AFTER_MS = 30_000;
+const MAX_BATCH_SIZE = 64;
+/** Age at which an undelivered settlement is dropped, in milliseconds; its reservation remains charged. */
+const MAX_AGE_MS = 30_000;
 
 interface QueuedSettlement {
   settlement: Settlement;
   queuedAt: number;
 }
 
-/** Settlements that are on their way together. */
+/** Settlements that are sent in one request. */
 export class SettlementBatch {
   constructor(private readonly queued: QueuedSettlement[]) {}
 
@@ -19,11 +19,11 @@
     return this.queued.map(({ settlement }) => settlement);
   }
 
-  /** What is to be sent again; a turn that took from an allowance is never given up. */
+  /** Settlements to retry. Those with a draw on an allowance are never dropped. */
   get undelivered(): QueuedSettlement[] {
     const now = monotonicMs();
     return this.queued.filter(
-      ({ settlement, queuedAt }) => settlement.draw || now - queuedAt < GIVE_UP_AFTER_MS,
+      ({ settlement, queuedAt }) => settlement.draw || now - queuedAt < MAX_AGE_MS,
     );
   }
 }
@@ -35,7 +35,7 @@
     return this.queued.length;
   }
 
-  /** How long the oldest has waited, in milliseconds; 0 when there is none. */
+  /** Age of the oldest settlement, in milliseconds; 0 if the queue is empty. */
   get oldestAgeMs(): number {
     const [oldest] = this.queued;
     return oldest ? monotonicMs() - oldest.queuedAt : 0;
@@ -45,9 +45,9 @@
     this.queued.push({ settlement, queuedAt: monotonicMs() });
   }
 
-  /** Takes the oldest out; whoever takes them settles them or puts them back. */
-  take(most = MAX_BATCH): SettlementBatch {
-    return new SettlementBatch(this.queued.splice(0, most));
+  /** Removes the oldest settlements. The caller must settle or requeue them. */
+  take(limit = MAX_BATCH_SIZE): SettlementBatch {
+    return new SettlementBatch(this.queued.splice(0, limit));
   }
 
   requeue(batch: SettlementBatch): void {
--- a/src/ledger/single-member-power-loss.test.ts
+++ b/src/ledger/single-member-power-loss.test.ts
@@ -1,6 +1,6 @@
 /**
- * A group of one member on a simulated disk, over drawn deaths of its process and losses of power: every command
- * that was acknowledged, or that a start has found, is found by each start after that.
+ * Randomized kills and power failures of a single-member group on a simulated disk: a command that was acknowledged or
+ * recovered once must be recovered by every later start.
  */
 import { describe, expect, it, vi } from 'vitest';
 import { fuzzSeeds } from '../../tests/support/fuzz-seeds.js';
@@ -26,21 +26,21 @@
 });
 
 const ONLY_MEMBER: Member = { id: 'only-id', name: 'only', address: 'only', role: 'voter' };
-/** So small that a start finds segments of which the oldest are to go: it asks for a snapshot at once. */
+/** Small enough that recovery finds compactable segments and requests a snapshot at once. */
 const SEGMENT_BYTES = 120;
 const COMMANDS = 25;
-/** About as many operations of its disk as a process has. */
+/** Approximate number of disk operations of one process. */
 const OPERATIONS = 120;
-const MOST_PROCESSES = 5;
+const MAX_PROCESSES = 5;
 const SCHEDULES = 60;
-const PLAYED_TOGETHER = 20;
+const CONCURRENCY = 20;
 
 class Schedule {
   private readonly random: SeededRandom;
   private readonly disk: SimulatedDisk;
   private readonly network = new LoopbackNetwork();
-  /** What each later start must find first, in this order. */
-  private reliedOn: string[] = [];
+  /** Items that each later start must recover first, in this order. */
+  private acknowledged: string[] = [];
   private commands = 0;
 
   constructor(private readonly seed: number) {
@@ -49,10 +49,10 @@
     this.disk = new SimulatedDisk(`only-${seed}`, { seed, nameDurability });
   }
 
-  /** @returns what was wrong; undefined when nothing was */
+  /** @returns a description of the failure, if any */
   play(): Promise<string | undefined> {
     const { seed, random, disk } = this;
-    const bounds = { mostProcesses: MOST_PROCESSES, operations: OPERATIONS };
+    const bounds = { mostProcesses: MAX_PROCESSES, operations: OPERATIONS };
     const runProcess = (killAt: number): Promise<void> => this.runProcess(killAt);
     return playDeaths({ seed, disk, random, ...bounds, runProcess });
   }
@@ -86,33 +86,33 @@
     member.killed.throwIfAborted();
     this.checkStart(member);
     await this.work(member);
-    if (member.fatal.length > 0) throw new Error(`ended by itself: ${String(member.fatal[0])}`);
+    if (member.fatal.length > 0) throw new Error(`process failed: ${String(member.fatal[0])}`);
   }
 
   private checkStart({ machine }: RunningListMember): void {
-    const found = machine.items.slice(0, this.reliedOn.length);
-    if (found.join() !== this.reliedOn.join()) {
-      throw new Error(`found ${machine.items.join()} in place of ${this.reliedOn.join()}`);
+    const found = machine.items.slice(0, this.acknowledged.length);
+    if (found.join() !== this.acknowledged.join()) {
+      throw new Error(`found ${machine.items.join()} instead of ${this.acknowledged.join()}`);
     }
-    this.reliedOn = [...machine.items];
+    this.acknowledged = [...machine.items];
   }
 
   private async work({ group, machine, killed }: RunningListMember): Promise<void> {
     for (let count = 0; count < COMMANDS && !killed.aborted; count += 1) {
       this.commands += 1;
       await group.propose(encodeValue(`command-${this.commands}`));
-      if (!killed.aborted) this.reliedOn = [...machine.items];
+      if (!killed.aborted) this.acknowledged = [...machine.items];
       if (this.random.chance(0.2)) await sleep(1);
     }
   }
 }
 
-describe('a group of one member over drawn deaths and losses of power', () => {
-  it('keeps what was acknowledged and what a start has found', async () => {
+describe('a single-member group under random kills and power failures', () => {
+  it('keeps acknowledged and recovered commands', async () => {
     const failures: string[] = [];
     const seeds = fuzzSeeds([], SCHEDULES);
     while (seeds.length > 0) {
-      const together = seeds.splice(0, PLAYED_TOGETHER).map((seed) => new Schedule(seed));
+      const together = seeds.splice(0, CONCURRENCY).map((seed) => new Schedule(seed));
       const found = await Promise.all(together.map((schedule) => schedule.play()));
       failures.push(...found.filter((failure) => failure !== undefined));
     }
--- a/src/ledger/turn-history-store.test.ts
+++ b/src/ledger/turn-history-store.test.ts
@@ -1,4 +1,4 @@
-/** Histories of turns whose values are missing here and are fetched from other members. */
+/** Turn histories whose values are missing and are fetched from other members. */
 import { describe, expect, it } from 'vitest';
 import { MemoryValues } from '../../tests/support/memory-values.js';
 import { monotonicMs, sleep } from '../common/index.js';
@@ -13,15 +13,15 @@
 const RETENTION_MS = 60_000;
 const CONFIGURATION = new Uint8Array(0);
 
-/** Members in one process, which reach one another by their addresses. */
+/** Members in one process that call each other directly. */
 class Members {
   readonly values = new Map<string, MemoryValues>();
   readonly states = new Map<string, LedgerStateMachine>();
   readonly requests: { address: string; turns: number }[] = [];
-  /** Whether members know which turns are over. @default those that are asked for a state do */
-  tellsExpired: boolean | undefined;
-  /** Members that are not reached after so many more requests. */
-  readonly diesAfter = new Map<string, number>();
+  /** Whether members report expired turns. @default if the request contains a log index */
+  reportsExpired: boolean | undefined;
+  /** Number of further requests after which a member is unreachable. */
+  readonly failsAfter = new Map<string, number>();
 
   add(address: string): LedgerStateMachine {
     const values = new MemoryValues();
@@ -43,11 +43,11 @@
 
   private async read(address: string, request: ReadTurnsRequest) {
     this.requests.push({ address, turns: request.turns.length });
-    const left = this.diesAfter.get(address);
-    if (left === 0) throw new Error(`${address} is gone`);
-    if (left !== undefined) this.diesAfter.set(address, left - 1);
-    const mayTell = this.tellsExpired ?? request.atIndex !== undefined;
-    const answer = await this.states.get(address)!.external.answer(request, mayTell);
+    const left = this.failsAfter.get(address);
+    if (left === 0) throw new Error(`${address} is unreachable`);
+    if (left !== undefined) this.failsAfter.set(address, left - 1);
+    const isStateRecentEnough = this.reportsExpired ?? request.atIndex !== undefined;
+    const answer = await this.states.get(address)!.external.answer(request, isStateRecentEnough);
     return { ...answer, memberId: address };
   }
 }
@@ -73,7 +73,7 @@
 }
 
 describe('reading a history', () => {
-  it('fetches a value that is missing here, once', async () => {
+  it('fetches a missing value once', async () => {
     const members = new Members();
     const [here, there] = [members.add('here'), members.add('there')];
     for (const state of [here, there]) {
@@ -88,7 +88,7 @@
     expect(members.requests).toHaveLength(1);
   });
 
-  it('fails, to be tried again, when no member has the value; a turn that is not kept is none', async () => {
+  it('fails with a retriable error if no member has the value, and returns undefined for unknown turns', async () => {
     const members = new Members();
     const here = members.add('here');
     members.add('there');
@@ -101,8 +101,8 @@
   });
 });
 
-describe('what a snapshot names', () => {
-  it('comes in bounded answers, from the next member when one dies, without asking twice', async () => {
+describe('values of turns in a snapshot', () => {
+  it('are fetched in bounded responses, from the next member after a failure, without duplicate requests', async () => {
     const members = new Members();
     const leader = members.add('leader');
     const other = members.add('other');
@@ -110,11 +110,11 @@
     for (let turn = 0; turn < 30; turn += 1) {
       for (const state of [leader, other]) keep(state, `${turn}-${large}`);
     }
-    members.diesAfter.set('leader', 2);
+    members.failsAfter.set('leader', 2);
     const learner = members.add('learner');
     await learner.external.fetchMissing(snapshotOf(leader), members.sources.slice(0, 2));
     expect(members.values.get('learner')!.values.size).toBe(30);
-    // Eight values fill an answer; what the first member gave is not asked of the second.
+    // Eight values fill a response. Values from the first member are not requested from the second.
     const asked = members.requests.filter(({ address }) => address === 'other');
     expect(asked[0]!.turns).toBeLessThan(30);
     expect(members.requests.length).toBeGreaterThan(3);
@@ -122,26 +122,26 @@
     expect(members.requests.filter(({ address }) => address === 'other')).toEqual(asked);
   });
 
-  it('keeps what came before the last member died, so that the next try goes on', async () => {
+  it('are kept if the last member fails, so that the next attempt resumes', async () => {
     const members = new Members();
     const leader = members.add('leader');
     const large = 'x'.repeat(300_000);
     for (let turn = 0; turn < 20; turn += 1) keep(leader, `${turn}-${large}`);
-    members.diesAfter.set('leader', 1);
+    members.failsAfter.set('leader', 1);
     const learner = members.add('learner');
     const [source] = members.sources;
     const snapshot = snapshotOf(leader);
     const first = learner.external.fetchMissing(snapshot, [source!]);
     await expect(first).rejects.toBeInstanceOf(TurnValuesMissingError);
-    // Values are read by eight, and the first eight fill an answer.
+    // Values are read in groups of eight, and the first group fills a response.
     expect(members.values.get('learner')!.values.size).toBe(8);
-    members.diesAfter.delete('leader');
+    members.failsAfter.delete('leader');
     await learner.external.fetchMissing(snapshot, [source!]);
     expect(members.values.get('learner')!.values.size).toBe(20);
     expect(members.requests.map(({ turns }) => turns)).toEqual([20, 12, 12, 4]);
   });
 
-  it('need not come when it is over by now at a member that is not behind', async () => {
+  it('are not required if their turns have expired at an up-to-date member', async () => {
     const members = new Members();
     const leader = members.add('leader');
     keep(leader, 'old');
@@ -154,18 +154,11 @@
   });
 });
 
-/**
- * Values of a thousand turns were gone on both members that were left of three, and the member that came with an
- * empty disk asked them for the same thousand six times a second until the end. It was never taken in, so that one
- * more lost machine would have stopped the group, for turns that nobody could serve any more.
- *
- *     kept turns fetched: asked 8790, missing 6822   (each second)
- *     membership step: remove storage-3-second, add-learner storage-3-second
- */
-describe('a value that is lost', () => {
+/** Values that a majority has lost must not keep a new member from joining the group. */
+describe('a lost value', () => {
   const VOTERS = ['first', 'second', 'third'];
 
-  function votersThatKeep(members: Members, turns: readonly string[]): void {
+  function addVoters(members: Members, turns: readonly string[]): void {
     for (const voter of VOTERS) {
       const state = members.add(voter);
       for (const turn of turns) keep(state, turn);
@@ -176,7 +169,7 @@
     for (const voter of voters) members.values.get(voter)!.delete(turn);
   }
 
-  /** A member with an empty disk takes the first voter's snapshot. */
+  /** Restores the first voter's snapshot on a member with an empty disk. */
   async function fetchAtNewMember(members: Members): Promise<MemoryValues> {
     const snapshot = snapshotOf(members.states.get(VOTERS[0]!)!);
     const sources = members.sources;
@@ -185,37 +178,37 @@
     return members.values.get('new')!;
   }
 
-  it('on more than half of the voters does not keep a new member out', async () => {
+  it('does not keep a new member from joining if a majority of the voters has lost it', async () => {
     const members = new Members();
-    votersThatKeep(members, ['a', 'b']);
+    addVoters(members, ['a', 'b']);
     lose(members, 'a', VOTERS);
-    members.diesAfter.set('third', 0);
+    members.failsAfter.set('third', 0);
     const values = await fetchAtNewMember(members);
     expect([...values.values.keys()]).toEqual(['b']);
   });
 
-  it('on half of them at most is waited for while the others do not answer', async () => {
+  it('is required if no majority of the voters has lost it and the others are unreachable', async () => {
     const members = new Members();
-    votersThatKeep(members, ['a']);
+    addVoters(members, ['a']);
     lose(members, 'a', ['first']);
-    members.diesAfter.set('second', 0);
-    members.diesAfter.set('third', 0);
+    members.failsAfter.set('second', 0);
+    members.failsAfter.set('third', 0);
     await expect(fetchAtNewMember(members)).rejects.toBeInstanceOf(TurnValuesMissingError);
   });
 
-  it('is not said of voters whose state is older than the snapshot', async () => {
+  it('is not reported by voters whose state is older than the snapshot', async () => {
     const members = new Members();
-    votersThatKeep(members, ['a']);
+    addVoters(members, ['a']);
     lose(members, 'a', VOTERS);
-    members.tellsExpired = false;
+    members.reportsExpired = false;
     await expect(fetchAtNewMember(members)).rejects.toBeInstanceOf(TurnValuesMissingError);
   });
 });
 
-describe('what log entries name', () => {
+describe('values that log entries refer to', () => {
   const ENTRY_INDEX = 20;
 
-  function entryNaming(...turns: string[]): LogEntry {
+  function entryReferringTo(...turns: string[]): LogEntry {
     const settlements = turns.map((attempt) => {
       return { program: 'p', attempt, spentTokens: 0, keep: { retentionMs: RETENTION_MS } };
     });
@@ -223,33 +216,33 @@
     return { index: ENTRY_INDEX, term: 1, kind: 'command', data };
   }
 
-  it('is waited for where copies are on their way, and not asked of others', async () => {
+  it('are awaited while copies are expected, and not fetched', async () => {
     const members = new Members();
     const follower = members.add('follower');
     members.add('leader');
-    const obtained = follower.external.attach([entryNaming('a', 'b')], members.sources, true);
+    const attached = follower.external.attach([entryReferringTo('a', 'b')], members.sources, true);
     await sleep(10);
     follower.external.storeCopy('a', textOf('a'));
     follower.external.storeCopy('b', textOf('b'));
-    const [entry] = await obtained;
+    const [entry] = await attached;
     expect(entry!.attachments).toEqual([textOf('a'), textOf('b')]);
     expect(members.requests).toEqual([]);
   });
 
-  it('is fetched where no copy comes, once for all that wait for it', async () => {
+  it('are fetched once for all waiters if no copy arrives', async () => {
     const members = new Members();
     const follower = members.add('follower');
     const leader = members.add('leader');
     await leader.external.storeValues(new Map([['a', textOf('a')]]));
     const sources = members.sources.filter(({ id }) => id === 'leader');
-    const entries = [entryNaming('a')];
+    const entries = [entryReferringTo('a')];
     const both = [1, 2].map(() => follower.external.attach(entries, sources, true));
     await Promise.all(both);
     expect(members.values.get('follower')!.has('a')).toBe(true);
     expect(members.requests).toHaveLength(1);
   });
 
-  it('is not taken from gateways without a bound', async () => {
+  it('are accepted from gateways up to a limit', async () => {
     const members = new Members();
     const follower = members.add('follower');
     const large = Buffer.alloc(1_000_000);
@@ -257,42 +250,42 @@
     expect(members.values.get('follower')!.values.size).toBe(5);
   });
 
-  it('is asked for at once by a member that gets no copies', async () => {
+  it('are fetched at once by a member that receives no copies', async () => {
     const members = new Members();
     const learner = members.add('learner');
     const voter = members.add('voter');
     await voter.external.storeValues(new Map([['a', textOf('a')]]));
     const startedAt = monotonicMs();
-    await learner.external.attach([entryNaming('a')], members.sources, false);
+    await learner.external.attach([entryReferringTo('a')], members.sources, false);
     expect(monotonicMs() - startedAt).toBeLessThan(50);
   });
 
-  it('must not be acknowledged when no member gives it', async () => {
+  it('prevent an acknowledgement if no member returns them', async () => {
     const members = new Members();
-    members.tellsExpired = false;
+    members.reportsExpired = false;
     const follower = members.add('follower');
     members.add('leader');
-    const obtained = follower.external.attach([entryNaming('a')], members.sources, false);
-    await expect(obtained).rejects.toBeInstanceOf(TurnValuesMissingError);
+    const attached = follower.external.attach([entryReferringTo('a')], members.sources, false);
+    await expect(attached).rejects.toBeInstanceOf(TurnValuesMissingError);
   });
 
-  it('is not needed when the turn is over by the state of a member that has applied the entry', async () => {
+  it('are not required if the turn has expired at a member that has applied the entry', async () => {
     const members = new Members();
     const follower = members.add('follower');
     members.add('voter');
-    members.tellsExpired = true;
-    await follower.external.attach([entryNaming('a')], members.sources.slice(1), false);
+    members.reportsExpired = true;
+    await follower.external.attach([entryReferringTo('a')], members.sources.slice(1), false);
     expect(members.values.get('follower')!.has('a')).toBe(false);
   });
 
-  it('comes back with the log at a start, and stays until the entry is applied', async () => {
+  it('are restored from the log and retained until the entry is applied', async () => {
     const members = new Members();
     const follower = members.add('follower');
     follower.restore(snapshotOf(members.add('other')).state);
-    follower.external.noteLogged([{ ...entryNaming('a'), attachments: [textOf('a')] }]);
+    follower.external.noteLogged([{ ...entryReferringTo('a'), attachments: [textOf('a')] }]);
     keep(follower, 'late', undefined, 10 * RETENTION_MS);
     expect(members.values.get('follower')!.has('a')).toBe(true);
-    const { data, index } = entryNaming('a');
+    const { data, index } = entryReferringTo('a');
     follower.apply(data, index);
     expect((await follower.external.read('a', []))?.toString()).toBe(textOf('a').toString());
   });
--- a/src/ledger/turn-history-store.ts
+++ b/src/ledger/turn-history-store.ts
@@ -1,6 +1,6 @@
 /**
- * Reads what turns continue from: the index says which turns, the values stand on this member's disk.
- * A value that is missing here, because the member is new or the value is damaged, is fetched from
+ * Reads and stores turn histories: the index determines the turns, the value store holds their values.
+ * Values that are missing on this member, because it is new or they are damaged, are fetched from
  * other members.
  */
 import { LedgegaugeError, SignalEvent, describeError, monotonicMs } from '../common/index.js';
@@ -12,44 +12,38 @@
 import type { ReadTurnsResponse, ReadTurnsRequest } from './messages.js';
 import type { TurnValueStore } from './turn-value-store.js';
 
-/** Values that no member gave; the turns are kept, so that the caller may try again. */
+/** No member returned some values. Their turns are kept, so the caller may retry. */
 export class TurnValuesMissingError extends LedgegaugeError {}
 
-/** Reads kept turns at another member. @throws when it does not answer */
+/** Reads kept turns from another member. @throws when it does not respond */
 export type ReadTurnsAt = (
   address: string,
   request: ReadTurnsRequest,
 ) => Promise<ReadTurnsResponse>;
 
-/** Turns asked for in one request: the answer's own limit is in bytes. */
+/** Maximum number of turns per request; the response is limited in bytes. */
 const MAX_REQUESTED_TURNS = 500;
-/** An answer takes no more values once it has this many bytes. */
-const MAX_ANSWER_BYTES = 512 * 1024;
-/** Values read from the disk at the same time: Node's pool has four threads. */
-const TURNS_READ_TOGETHER = 8;
+/** Size from which on no further values are added to a response. */
+const MAX_RESPONSE_BYTES = 512 * 1024;
+/** Number of values read from disk concurrently. */
+const READ_CONCURRENCY = 8;
 
-/**
- * How long a follower waits for values that are being sent to it, in milliseconds: the entry that names one
- * comes behind it by a sync and a message, so that it is late only on a full link. Then another is asked.
- */
-const COPY_WAIT_MS = 100;
-/**
- * Bytes of values that may wait for their entries, beyond which copies are not taken: three seconds of what the
- * busiest ledger keeps. A follower that is behind, or whose disk is full, asks others for what it did not take.
- */
-const MOST_UNNAMED_BYTES = 4 * 1024 * 1024;
+/** How long a follower waits for copies before it fetches the values from other members, in milliseconds. */
+const COPY_TIMEOUT_MS = 100;
+/** Maximum size of values without a log entry; further copies are dropped, and fetched once referenced. */
+const MAX_UNREFERENCED_BYTES = 4 * 1024 * 1024;
 
-const REPORT_INTERVAL_MS = 1_000;
-/** In the place of a value that nobody needs any more. */
-const NO_VALUE = Buffer.alloc(0);
+const LOG_INTERVAL_MS = 1_000;
+/** Placeholder for the value of an expired turn. */
+const EMPTY_VALUE = Buffer.alloc(0);
 
-/** A turn that a log entry names, and the entry's index. */
-interface TurnAtIndex {
+/** A turn that a log entry refers to, and the index of the entry. */
+interface TurnReference {
   turn: string;
   index: number;
 }
 
-/** What one member says of values that it must hold. */
+/** Values that a member should hold and has lost. */
 interface LossReport {
   answeredBy: string | undefined;
   lost: string[];
@@ -59,20 +53,20 @@
   turns: KeptTurnIndex;
   values: TurnValueStore;
   readTurnsAt: ReadTurnsAt;
-  /** Ids of the turns that an encoded state names. */
+  /** Ids of the turns in an encoded state. */
   turnIdsInSnapshot: (state: Uint8Array) => string[];
-  /** Turns that a log entry names without their values. */
+  /** Ids of the turns that a log entry refers to without their values. */
   turnIdsInEntry: (entry: LogEntry) => string[];
   logger: Logger;
 }
 
 export class TurnHistoryStore implements ExternalState {
   private readonly copyArrived = new SignalEvent();
-  /** The latest fetch of what entries name. */
-  private obtaining: Promise<void> = Promise.resolve();
-  /** Since the latest report: values asked of other members, and those that none gave. */
+  /** The latest fetch of values that log entries refer to; fetches are serialized. */
+  private pendingFetch: Promise<void> = Promise.resolve();
+  /** Since the latest log entry: values requested from other members, and those that none returned. */
   private readonly fetched = { asked: 0, missing: 0 };
-  private reportedAt = Number.NEGATIVE_INFINITY;
+  private lastLoggedAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: TurnHistoryStoreOptions) {}
 
@@ -85,9 +79,9 @@
   }
 
   /**
-   * Everything up to and with a turn, oldest first; undefined when the turn is not kept.
-   * @param sources members that may hold what is missing here
-   * @throws TurnValuesMissingError when a part of it can't be had now
+   * Reads the history up to and including a turn, oldest first; undefined if the turn is not kept.
+   * @param sources members from which missing values are fetched
+   * @throws TurnValuesMissingError when a value is unavailable
    */
   async read(turn: string, sources: readonly Member[]): Promise<Buffer | undefined> {
     const chain = this.options.turns.chain(turn);
@@ -96,28 +90,28 @@
     const missing = chain.filter((_, index) => values[index] === undefined);
     if (missing.length === 0) return Buffer.concat(values as Buffer[]);
     await this.fetch(new Set(missing), sources);
-    const healed = await this.valuesOf(chain);
-    if (healed.includes(undefined)) throw missingError(missing.length);
-    return Buffer.concat(healed as Buffer[]);
+    const refetched = await this.valuesOf(chain);
+    if (refetched.includes(undefined)) throw missingError(missing.length);
+    return Buffer.concat(refetched as Buffer[]);
   }
 
   /**
-   * Answers another member from what is held here.
-   * @param isStateLateEnough whether this member's state knows which turns are over, and which it must hold
+   * Serves a read of another member from the local store.
+   * @param isStateRecentEnough whether this member's state can tell expired turns from lost values
    */
   async answer(
     { turns }: ReadTurnsRequest,
-    isStateLateEnough: boolean,
+    isStateRecentEnough: boolean,
   ): Promise<ReadTurnsResponse> {
     const answer: ReadTurnsResponse = { values: [], expired: [], lost: [], covered: 0 };
     let bytes = 0;
-    while (answer.covered < turns.length && bytes < MAX_ANSWER_BYTES) {
-      const group = turns.slice(answer.covered, answer.covered + TURNS_READ_TOGETHER);
+    while (answer.covered < turns.length && bytes < MAX_RESPONSE_BYTES) {
+      const group = turns.slice(answer.covered, answer.covered + READ_CONCURRENCY);
       const values = await this.valuesOf(group);
       for (const [index, id] of group.entries()) {
         const value = values[index];
         if (value) answer.values.push([id, value]);
-        else if (isStateLateEnough) this.noteWithoutValue(answer, id);
+        else if (isStateRecentEnough) this.reportMissing(answer, id);
         bytes += value?.length ?? 0;
       }
       answer.covered += group.length;
@@ -125,21 +119,21 @@
     return answer;
   }
 
-  /** A value that is held and can't be read now is neither lost nor over. */
-  private noteWithoutValue({ expired, lost }: ReadTurnsResponse, id: string): void {
+  /** Reports a turn without a readable value as expired or lost. A held but unreadable value is neither. */
+  private reportMissing({ expired, lost }: ReadTurnsResponse, id: string): void {
     const { turns, values } = this.options;
     if (!turns.has(id)) expired.push(id);
     else if (!values.has(id)) lost.push(id);
   }
 
-  /** Takes a value ahead of the entry that names it. */
+  /** Stores a value that arrived ahead of the entry that refers to it. */
   storeCopy(turn: string, value: Uint8Array): void {
-    if (this.options.turns.unreferenced.bytes >= MOST_UNNAMED_BYTES) return;
+    if (this.options.turns.unreferenced.bytes >= MAX_UNREFERENCED_BYTES) return;
     this.put(turn, value);
     this.copyArrived.notify();
   }
 
-  /** Takes values at the leader, ahead of the entry that names them. */
+  /** Stores values on the leader before it proposes the entry that refers to them. */
   async storeValues(values: ReadonlyMap<string, Buffer>): Promise<void> {
     await this.options.values.waitForRoom();
     for (const [turn, value] of values) this.put(turn, value);
@@ -151,16 +145,16 @@
     getsCopies: boolean,
   ): Promise<readonly LogEntry[]> {
     const turnsOf = entries.map((entry) => this.options.turnIdsInEntry(entry));
-    const named = entries.flatMap(({ index }, place) =>
-      turnsOf[place]!.map((turn): TurnAtIndex => ({ turn, index })),
+    const referenced = entries.flatMap(({ index }, place) =>
+      turnsOf[place]!.map((turn): TurnReference => ({ turn, index })),
     );
-    if (named.length === 0) return entries;
-    if (getsCopies) await this.waitForCopies(named);
-    // One after the other: a leader that hears nothing in time sends the same entries again.
-    const obtained = this.obtaining.then(() => this.obtain(named, sources));
-    this.obtaining = obtained.catch(() => undefined);
+    if (referenced.length === 0) return entries;
+    if (getsCopies) await this.waitForCopies(referenced);
+    // Serialized, since a leader that gets no response in time resends the same entries.
+    const obtained = this.pendingFetch.then(() => this.fetchReferenced(referenced, sources));
+    this.pendingFetch = obtained.catch(() => undefined);
     await obtained;
-    return Promise.all(entries.map((entry, place) => this.withValues(entry, turnsOf[place]!)));
+    return Promise.all(entries.map((entry, place) => this.attachValues(entry, turnsOf[place]!)));
   }
 
   noteLogged(entries: readonly LogEntry[]): void {
@@ -179,12 +173,12 @@
     const wanted = new Set(this.options.turnIdsInSnapshot(state).filter(isMissing));
     if (wanted.size === 0) return;
     const reports = await this.fetch(wanted, sources, index);
-    this.giveUp(reports.lostByMajorityOf(sources), wanted);
+    this.abandonLost(reports.lostByMajorityOf(sources), wanted);
     if (wanted.size > 0) throw missingError(wanted.size);
   }
 
-  /** Values that nobody can give would keep a member, and with it the group's next loss, out for good. */
-  private giveUp(lost: readonly string[], wanted: Set<string>): void {
+  /** Drops unrecoverable values from `wanted`: waiting for them would keep a member from joining. */
+  private abandonLost(lost: readonly string[], wanted: Set<string>): void {
     const given = lost.filter((turn) => wanted.delete(turn));
     if (given.length > 0) this.options.logger.error('kept turns lost', { turns: given.length });
   }
@@ -192,17 +186,20 @@
   private put(turn: string, value: Uint8Array): void {
     const { turns, values } = this.options;
     if (!turns.has(turn)) turns.unreferenced.markStored(turn, value.length);
-    // Memory of its own, since what was received is a view of a frame that holds much else.
+    // Copied, since the received value is a view that would retain the whole frame.
     if (!values.has(turn)) values.put(turn, Buffer.from(value));
   }
 
   /**
-   * Others are asked as of the last entry that names something missing. They can't have applied one that is still
-   * to be committed, and don't say then which turns are over; once its own turns have come, an earlier entry is the
-   * last.
+   * Fetches missing values as of the last entry that refers to one of them. Other members cannot have applied an
+   * uncommitted entry and then do not report expired turns, so the fetch is repeated with an earlier index once the
+   * values of the later entries have arrived.
    */
-  private async obtain(named: readonly TurnAtIndex[], sources: readonly Member[]): Promise<void> {
-    let missing = this.missingOf(named);
+  private async fetchReferenced(
+    referenced: readonly TurnReference[],
+    sources: readonly Member[],
+  ): Promise<void> {
+    let missing = this.missingOf(referenced);
     while (missing.length > 0) {
       const wanted = new Set(missing.map(({ turn }) => turn));
       await this.fetch(wanted, sources, missing.at(-1)!.index);
@@ -213,27 +210,27 @@
   }
 
   /**
-   * Turns that are over have no value any more.
-   * @throws TurnValuesMissingError when one is found damaged; it is fetched at the next try
+   * Attaches the values of the turns; those of expired turns are empty.
+   * @throws TurnValuesMissingError when a value is damaged; the next attempt fetches it
    */
-  private async withValues(entry: LogEntry, turns: readonly string[]): Promise<LogEntry> {
+  private async attachValues(entry: LogEntry, turns: readonly string[]): Promise<LogEntry> {
     if (turns.length === 0) return entry;
     const held = turns.filter((turn) => this.options.values.has(turn));
     const values = await this.valuesOf(turns);
     const read = values.filter((value) => value !== undefined);
     if (read.length < held.length) throw missingError(held.length - read.length);
-    return { ...entry, attachments: values.map((value) => value ?? NO_VALUE) };
+    return { ...entry, attachments: values.map((value) => value ?? EMPTY_VALUE) };
   }
 
-  private missingOf(named: readonly TurnAtIndex[]): TurnAtIndex[] {
-    return named.filter(({ turn }) => !this.options.values.has(turn));
+  private missingOf(referenced: readonly TurnReference[]): TurnReference[] {
+    return referenced.filter(({ turn }) => !this.options.values.has(turn));
   }
 
-  private async waitForCopies(named: readonly TurnAtIndex[]): Promise<void> {
-    const deadlineMs = monotonicMs() + COPY_WAIT_MS;
+  private async waitForCopies(referenced: readonly TurnReference[]): Promise<void> {
+    const deadlineMs = monotonicMs() + COPY_TIMEOUT_MS;
     for (;;) {
       const leftMs = deadlineMs - monotonicMs();
-      if (leftMs <= 0 || this.missingOf(named).length === 0) return;
+      if (leftMs <= 0 || this.missingOf(referenced).length === 0) return;
       await this.copyArrived.waitWithTimeout(leftMs);
     }
   }
@@ -243,8 +240,8 @@
   }
 
   /**
-   * Takes what was fetched, and what is over, out of the set.
-   * @returns what members say that they have lost
+   * Removes fetched and expired turns from `wanted`.
+   * @returns reports of the members about lost values
    */
   private async fetch(
     wanted: Set<string>,
@@ -263,25 +260,25 @@
         this.options.logger.warn('kept turns not fetched', { peer: source.address, cause });
       }
     }
-    this.reportFetched(asked, wanted.size);
+    this.logFetched(asked, wanted.size);
     return reports;
   }
 
-  /** At most once a second: a new member fetches what each batch of entries names. */
-  private reportFetched(asked: number, missing: number): void {
+  /** Rate-limited, since a new member fetches values for each batch of entries. */
+  private logFetched(asked: number, missing: number): void {
     this.fetched.asked += asked;
     this.fetched.missing += missing;
     const now = monotonicMs();
-    if (now - this.reportedAt < REPORT_INTERVAL_MS) return;
-    this.reportedAt = now;
+    if (now - this.lastLoggedAt < LOG_INTERVAL_MS) return;
+    this.lastLoggedAt = now;
     this.options.logger.info('kept turns fetched', { ...this.fetched });
     this.fetched.asked = 0;
     this.fetched.missing = 0;
   }
 
   /**
-   * One request after the other, each answer written before the next is asked for.
-   * @returns what the member says that it has lost
+   * Sends requests sequentially, each after the values of the previous response have been stored.
+   * @returns the values that the member has lost
    */
   private async fetchFrom(
     address: string,
--- a/src/ledger/unreferenced-values.test.ts
+++ b/src/ledger/unreferenced-values.test.ts
@@ -1,59 +1,59 @@
-/** How long values wait for the log entry that names them. */
+/** Retention of values until their log entry is applied. */
 import { describe, expect, it } from 'vitest';
 import { UnreferencedValues } from './unreferenced-values.js';
 
-const LONGER_THAN_ANY_WAIT_MS = 61_000;
+const AFTER_MAX_WAIT_MS = 61_000;
 
-function startedAt(nowMs: number) {
+function createTracker(nowMs: number) {
   const clock = { nowMs };
-  return { clock, unnamed: new UnreferencedValues(() => clock.nowMs) };
+  return { clock, values: new UnreferencedValues(() => clock.nowMs) };
 }
 
-describe('a value that no entry has named', () => {
-  it('expires once, after its time', () => {
-    const { clock, unnamed } = startedAt(0);
-    unnamed.markStored('a', 10);
-    expect(unnamed.expire(100)).toEqual([]);
-    clock.nowMs = LONGER_THAN_ANY_WAIT_MS;
-    expect(unnamed.expire(100)).toEqual(['a']);
-    expect(unnamed.bytes).toBe(0);
-    expect(unnamed.expire(100)).toEqual([]);
+describe('an unreferenced value', () => {
+  it('expires once after the maximum wait', () => {
+    const { clock, values } = createTracker(0);
+    values.markStored('a', 10);
+    expect(values.expire(100)).toEqual([]);
+    clock.nowMs = AFTER_MAX_WAIT_MS;
+    expect(values.expire(100)).toEqual(['a']);
+    expect(values.bytes).toBe(0);
+    expect(values.expire(100)).toEqual([]);
   });
 
-  it('stays for as long as an entry that names it may still be applied', () => {
-    const { clock, unnamed } = startedAt(0);
-    unnamed.markStored('a', 10);
-    unnamed.markLogged('a', 7);
-    expect(unnamed.bytes).toBe(10);
-    clock.nowMs = LONGER_THAN_ANY_WAIT_MS;
-    expect(unnamed.expire(6)).toEqual([]);
-    expect(unnamed.has('a')).toBe(true);
-    // Another leader's entry took the place of the one that named it.
-    expect(unnamed.expire(7)).toEqual(['a']);
+  it('is retained while an entry that refers to it may still be applied', () => {
+    const { clock, values } = createTracker(0);
+    values.markStored('a', 10);
+    values.markLogged('a', 7);
+    expect(values.bytes).toBe(10);
+    clock.nowMs = AFTER_MAX_WAIT_MS;
+    expect(values.expire(6)).toEqual([]);
+    expect(values.has('a')).toBe(true);
+    // An entry of another leader replaced the one that referred to it.
+    expect(values.expire(7)).toEqual(['a']);
   });
 
-  it('does not lose its entry when it arrives once more', () => {
-    const { clock, unnamed } = startedAt(0);
-    unnamed.markLogged('a', 7);
-    unnamed.markStored('a', 10);
-    clock.nowMs = LONGER_THAN_ANY_WAIT_MS;
-    expect(unnamed.expire(6)).toEqual([]);
+  it('keeps its log index if it is stored again', () => {
+    const { clock, values } = createTracker(0);
+    values.markLogged('a', 7);
+    values.markStored('a', 10);
+    clock.nowMs = AFTER_MAX_WAIT_MS;
+    expect(values.expire(6)).toEqual([]);
   });
 });
 
-it('a value whose entry was applied is no longer waited for', () => {
-  const { clock, unnamed } = startedAt(0);
-  unnamed.markLogged('a', 7);
-  unnamed.markApplied('a', 7);
-  clock.nowMs = LONGER_THAN_ANY_WAIT_MS;
-  expect(unnamed.expire(7)).toEqual([]);
+it('a value is no longer tracked once its entry is applied', () => {
+  const { clock, values } = createTracker(0);
+  values.markLogged('a', 7);
+  values.markApplied('a', 7);
+  clock.nowMs = AFTER_MAX_WAIT_MS;
+  expect(values.expire(7)).toEqual([]);
 });
 
-it('a value is waited for while a later entry names it than the one that was applied', () => {
-  const { unnamed } = startedAt(0);
-  unnamed.markLogged('a', 7);
-  unnamed.markApplied('a', 5);
-  expect(unnamed.has('a')).toBe(true);
-  unnamed.markApplied('a', 7);
-  expect(unnamed.has('a')).toBe(false);
+it('a value is tracked while an unapplied entry refers to it', () => {
+  const { values } = createTracker(0);
+  values.markLogged('a', 7);
+  values.markApplied('a', 5);
+  expect(values.has('a')).toBe(true);
+  values.markApplied('a', 7);
+  expect(values.has('a')).toBe(false);
 });
--- a/src/ledger/unreferenced-values.ts
+++ b/src/ledger/unreferenced-values.ts
@@ -1,25 +1,22 @@
 /**
- * Values of turns that the state does not name yet: they came from a gateway or another member before the
- * entry that names them was applied. What is never named goes after a while.
+ * Tracks values of turns that the state does not refer to yet, because the entry that refers to them has not
+ * been applied. Values that are never referenced expire.
  */
 import { monotonicMs } from '../common/index.js';
 
-/**
- * How long a value may wait for its entry, in milliseconds: far beyond the time in which a gateway asks again
- * for a turn to be kept.
- */
-const LONGEST_WAIT_MS = 60_000;
+/** How long a value may wait for its entry, in milliseconds; well above the retry time of gateways. */
+const MAX_WAIT_MS = 60_000;
 
 interface UnnamedValue {
   since: number;
   bytes: number;
-  /** Log index of the latest entry here that names it, if there is one. */
+  /** Log index of the latest entry that refers to the value, if any. */
   loggedAt?: number;
 }
 
 export class UnreferencedValues {
   private readonly values = new Map<string, UnnamedValue>();
-  /** Bytes of all values together. */
+  /** Total size of the values, in bytes. */
   bytes = 0;
 
   /** @param now the monotonic clock, in milliseconds */
@@ -29,31 +26,31 @@
     return this.values.has(turn);
   }
 
-  /** A value was put, or is about to be. */
+  /** Records that a value is stored. */
   markStored(turn: string, bytes: number): void {
     const loggedAt = this.values.get(turn)?.loggedAt;
     this.set(turn, { since: this.now(), bytes, loggedAt });
   }
 
-  /** An entry that names it stands in this member's log. */
+  /** Records that an entry in this member's log refers to the value. */
   markLogged(turn: string, index: number): void {
     const bytes = this.values.get(turn)?.bytes ?? 0;
     this.set(turn, { since: this.now(), bytes, loggedAt: index });
   }
 
-  /** The entry at a log index was applied; one behind it may name the turn once more. */
+  /** Records that the entry at a log index was applied; a later entry may still refer to the turn. */
   markApplied(turn: string, index: number): void {
     const { loggedAt = 0 } = this.values.get(turn) ?? {};
     if (loggedAt <= index) this.remove(turn);
   }
 
   /**
-   * Forgets what was not named in time, and says what that is. An entry that is not applied, however old, may
-   * still be committed; one that was replaced by another leader's shows by what is applied at its index.
+   * Removes and returns the values that were not referenced in time. Values of entries beyond the applied index are
+   * retained, as these entries may still be committed.
    */
   expire(appliedIndex: number): string[] {
     const expired: string[] = [];
-    const before = this.now() - LONGEST_WAIT_MS;
+    const before = this.now() - MAX_WAIT_MS;
     for (const [turn, { since, loggedAt = 0 }] of this.values) {
       if (since > before || loggedAt > appliedIndex) continue;
       this.remove(turn);
--- a/src/ledger/value-copy-sender.ts
+++ b/src/ledger/value-copy-sender.ts
@@ -1,6 +1,6 @@
 /**
- * Sends values of kept turns from a gateway to the voters that follow the ledger's leader, which then only
- * names them in its log: its link carries each once, in place of once for every voter.
+ * Sends values of kept turns from a gateway directly to the followers with a vote. The leader then replicates
+ * only references, which saves its link one copy per follower.
  */
 import type { PeerNotifier } from '../consensus/index.js';
 import { encodeTurnValue } from './kept-turn-index.js';
@@ -12,7 +12,7 @@
 
   constructor(private readonly peers: PeerNotifier) {}
 
-  /** Version of the targets that are known; undefined before the first. */
+  /** Version of the known targets; undefined if none are known yet. */
   get version(): string | undefined {
     return this.targets?.version;
   }
@@ -22,8 +22,8 @@
   }
 
   /**
-   * Sends a settlement's value, if it has one. What gets lost is fetched by the voter that lacks it.
-   * @returns the version of the targets that it was sent to; undefined when it was sent to none
+   * Sends the value of a settlement, if it has one. Lost copies are fetched by the voter that lacks them.
+   * @returns the version of the targets that the value was sent to; undefined if it was not sent
    */
   send({ attempt, keep }: Settlement): string | undefined {
     if (!this.targets || !keep || !hasInlineValue(keep)) return undefined;
@@ -32,7 +32,7 @@
   }
 }
 
-/** Sends a value to followers ahead of the entry that names it. */
+/** Sends a value to followers ahead of the entry that refers to it. */
 export function sendCopy(
   peers: PeerNotifier,
   addresses: readonly string[],
