--- a/src/ledger/value-replication.test.ts
+++ b/src/ledger/value-replication.test.ts
@@ -1,4 +1,4 @@
-/** Kept turns that the log only names: with whom their values are, whatever becomes of the copies. */
+/** Replication of the values of kept turns, which log entries only refer to. */
 import { describe, expect, it } from 'vitest';
 import {
   KEPT_HISTORY,
@@ -16,7 +16,7 @@
 const VOTERS = 5;
 const QUORUM = 3;
 
-function copiesTaken(ledger: LedgerCluster): number {
+function countCopies(ledger: LedgerCluster): number {
   const { requests } = ledger.cluster.network;
   return ledger.addresses.reduce(
     (sum, address) => sum + (requests.get(`${address} ${TAKE_COPY.name}`) ?? 0),
@@ -24,31 +24,31 @@
   );
 }
 
-function holders(ledger: LedgerCluster): number {
+function countHolders(ledger: LedgerCluster): number {
   return ledger.cluster.members.filter(({ member }) =>
     ledger.holdsValue(member.id, KEPT_TURN.attempt),
   ).length;
 }
 
-describe('a turn that is kept', () => {
-  it('is with a majority once its gateway is told so', async () => {
+describe('the value of a kept turn', () => {
+  it('is on a majority once its settlement is acknowledged', async () => {
     const ledger = await LedgerCluster.start({ voters: VOTERS });
     const client = ledger.createClient('gateway');
     await client.settle(KEPT_TURN, LIMITS.timeoutMs);
-    expect(holders(ledger)).toBeGreaterThanOrEqual(QUORUM);
-    await waitUntil('with all', () => holders(ledger) === VOTERS);
+    expect(countHolders(ledger)).toBeGreaterThanOrEqual(QUORUM);
+    await waitUntil('with all', () => countHolders(ledger) === VOTERS);
   });
 
-  it('is sent by its gateway to the followers that it learned of from the leader', async () => {
+  it('is sent by its gateway to the followers that the leader listed', async () => {
     const ledger = await LedgerCluster.start({ voters: VOTERS });
     const client = ledger.createClient('gateway');
     const first = { program: 'p', attempt: 'turn-1', mostTokens: 10, wantsHistory: false };
     await client.reserve(first, LIMITS.timeoutMs, false);
     await client.settle(KEPT_TURN, LIMITS.timeoutMs);
-    expect(copiesTaken(ledger)).toBe(VOTERS - 1);
+    expect(countCopies(ledger)).toBe(VOTERS - 1);
   });
 
-  it('reaches members to which its copies were lost', async () => {
+  it('reaches members whose copies were lost', async () => {
     const ledger = await LedgerCluster.start({ voters: VOTERS });
     const leader = await ledger.cluster.waitLeader();
     const client = ledger.createClient('gateway');
@@ -58,11 +58,11 @@
       if (address !== leader.member.address) ledger.cluster.network.cut('gateway', address);
     }
     await client.settle(KEPT_TURN, LIMITS.timeoutMs);
-    expect(holders(ledger)).toBeGreaterThanOrEqual(QUORUM);
-    await waitUntil('with all', () => holders(ledger) === VOTERS);
+    expect(countHolders(ledger)).toBeGreaterThanOrEqual(QUORUM);
+    await waitUntil('with all', () => countHolders(ledger) === VOTERS);
   });
 
-  it('is read through the next leader after the one that kept it has gone for good', async () => {
+  it('is readable through the next leader after the previous one was lost permanently', async () => {
     const ledger = await LedgerCluster.start({ voters: VOTERS });
     const { cluster, addresses } = ledger;
     const client = ledger.createClient('gateway');
@@ -76,24 +76,24 @@
     expect(Buffer.from(history!)).toEqual(KEPT_HISTORY);
   });
 
-  it('comes back with the log of a member that ends before its store has written anything', async () => {
+  it('is restored from the log of a member that stops before its store has written it', async () => {
     const ledger = await LedgerCluster.start({ voters: VOTERS });
     const client = ledger.createClient('gateway');
     await client.settle(KEPT_TURN, LIMITS.timeoutMs);
-    await waitUntil('with all', () => holders(ledger) === VOTERS);
+    await waitUntil('with all', () => countHolders(ledger) === VOTERS);
     for (const { member } of ledger.cluster.members) await ledger.cluster.crash(member.id);
     await ledger.startAgain();
-    expect(holders(ledger)).toBe(VOTERS);
+    expect(countHolders(ledger)).toBe(VOTERS);
   });
 
-  it('reaches learners, which are sent no copies', async () => {
+  it('reaches learners, which receive no copies', async () => {
     const ledger = await LedgerCluster.start({ learners: 2 });
     const client = ledger.createClient('gateway');
     await client.settle(KEPT_TURN, LIMITS.timeoutMs);
-    await waitUntil('with learners', () => holders(ledger) === ledger.cluster.members.length);
+    await waitUntil('with learners', () => countHolders(ledger) === ledger.cluster.members.length);
   });
 
-  it('is kept for a gateway that sends no copies at all', async () => {
+  it('is replicated for a gateway that sends no copies', async () => {
     const ledger = await LedgerCluster.start({ voters: VOTERS });
     const { network } = ledger.cluster;
     const groups = new GroupClient({
@@ -102,6 +102,6 @@
     });
     const client = new LedgerClient(groups, ledgerTestLogger, 'gateway');
     await client.settle(KEPT_TURN, LIMITS.timeoutMs);
-    await waitUntil('with all', () => holders(ledger) === VOTERS);
+    await waitUntil('with all', () => countHolders(ledger) === VOTERS);
   });
 });
--- a/src/ledger/value-store-power-loss.test.ts
+++ b/src/ledger/value-store-power-loss.test.ts
@@ -1,6 +1,6 @@
 /**
- * The store of kept turns on a simulated disk, over drawn deaths of its process and losses of power: whatever a
- * sync has covered, and what a start has found and a sync has covered since, is held for as long as it is wanted.
+ * Randomized kills and power failures of a value store on a simulated disk: live values covered by a sync must
+ * survive.
  */
 import { readFile } from 'node:fs/promises';
 import { join } from 'node:path';
@@ -25,16 +25,16 @@
 
 const INDEX_NAME = 'values-0000000001.index';
 const SEGMENT_BYTES = 700;
-const LONGEST_VALUE_BYTES = 200;
-const MOST_VALUES_AT_ONCE = 5;
-/** What one process does, in steps, and about as many operations on its disk. */
+const MAX_VALUE_BYTES = 200;
+const MAX_VALUES_PER_PUT = 5;
+/** Steps of one process, and the approximate number of disk operations that they take. */
 const STEPS = 20;
 const OPERATIONS = 90;
-const MOST_PROCESSES = 6;
+const MAX_PROCESSES = 6;
 const SCHEDULES = 60;
 
 function valueOf(key: string): Buffer {
-  const bytes = 1 + ((Number(key.slice('key-'.length)) * 37) % LONGEST_VALUE_BYTES);
+  const bytes = 1 + ((Number(key.slice('key-'.length)) * 37) % MAX_VALUE_BYTES);
   return Buffer.from(`${key}:${'v'.repeat(bytes)}`);
 }
 
@@ -42,14 +42,14 @@
   return ValueStore.open({
     folder: await openStoreFolder(folder),
     logger: createLogger({ test: 'value-store-power-loss' }),
-    // A killed process ends by itself as well; nobody asks it any more.
+    // Fatal errors after the simulated kill are expected.
     onFatal: () => undefined,
     segmentBytes: SEGMENT_BYTES,
     cacheBytes: 1,
   });
 }
 
-/** Values that are wanted, and whether a sync has covered them. */
+/** Live keys, and whether a sync has covered them. */
 class WantedValues {
   readonly synced = new Map<string, boolean>();
   private latest = 0;
@@ -65,19 +65,19 @@
     return key;
   }
 
-  noteSynced(keys: readonly string[]): void {
+  markSynced(keys: readonly string[]): void {
     for (const key of keys) if (this.synced.has(key)) this.synced.set(key, true);
   }
 
-  /** What a process never synced may be gone with it. */
-  forgetWhatIsGone(store: ValueStore): void {
+  /** Removes unsynced values that were lost with their process. */
+  removeUnsyncedLosses(store: ValueStore): void {
     for (const [key, isSynced] of this.synced) {
       if (!isSynced && !store.has(key)) this.synced.delete(key);
     }
   }
 }
 
-/** One process: what it does after its death counts no more. */
+/** One process. Its actions after the kill are disregarded. */
 interface StoreProcess {
   store: ValueStore;
   killed: AbortSignal;
@@ -89,7 +89,7 @@
   random: SeededRandom,
 ): Promise<void> {
   const put = (): void => {
-    for (let count = random.integer(1, MOST_VALUES_AT_ONCE); count > 0; count -= 1) {
+    for (let count = random.integer(1, MAX_VALUES_PER_PUT); count > 0; count -= 1) {
       const key = wanted.add();
       store.put(key, valueOf(key));
     }
@@ -103,7 +103,7 @@
   const sync = async (): Promise<void> => {
     const { keys } = wanted;
     await store.sync();
-    if (!killed.aborted) wanted.noteSynced(keys);
+    if (!killed.aborted) wanted.markSynced(keys);
   };
   const steps = [put, put, put, sync, sync, () => drop(0.5), () => drop(0), () => sleep(2)];
   for (let count = 0; count < STEPS && !killed.aborted; count += 1) await random.pick(steps)();
@@ -123,10 +123,10 @@
     this.disk = new SimulatedDisk(`values-${seed}`, { seed, nameDurability });
   }
 
-  /** @returns what was wrong; undefined when nothing was */
+  /** @returns a description of the failure, if any */
   play(): Promise<string | undefined> {
     const { seed, random, disk } = this;
-    const bounds = { mostProcesses: MOST_PROCESSES, operations: OPERATIONS };
+    const bounds = { mostProcesses: MAX_PROCESSES, operations: OPERATIONS };
     const runProcess = (killAt: number): Promise<void> => this.runProcess(killAt);
     return playDeaths({ seed, disk, random, ...bounds, runProcess });
   }
@@ -151,7 +151,7 @@
     const store = await openStore(join(root, 'data', 'turns'));
     await this.check(store);
     killed.throwIfAborted();
-    this.wanted.forgetWhatIsGone(store);
+    this.wanted.removeUnsyncedLosses(store);
     store.retain((key) => this.wanted.synced.has(key));
     await work({ store, killed }, this.wanted, this.random);
     if (!killed.aborted) await this.check(store);
@@ -175,25 +175,19 @@
   return failures;
 }
 
-describe('a store of kept turns', () => {
-  /**
-   * All that the last segment held was over, so that its index and the segment were removed; the power went, and only the
-   * removal of the segment lasted. The next segment got the same number. Until it was sealed it had no index of its own,
-   * and a start took the old one for it: what a sync had covered in the new segment was not found any more.
-   * Drawn schedules showed it as `key-44 is gone`, with segment 1 made anew beside an index that nobody had written
-   * for it.
-   */
-  it('holds what it wrote to a segment beside which an index of an earlier one is left', async () => {
+describe('a value store with a stale index', () => {
+  /** A new segment must not reuse the number of a removed one whose index reappeared after a power failure. */
+  it('finds synced values of a segment despite a stale index of an earlier segment', async () => {
     const disk = new SimulatedDisk('index', { seed: 1 });
     const folderOf = (root: string): string => join(root, 'data', 'turns');
     const folder = folderOf(disk.startProcess());
     const store = await openStore(folder);
-    const over = Array.from({ length: 20 }, (_, index) => `key-${index}`);
-    for (const key of over) store.put(key, valueOf(key));
+    const expired = Array.from({ length: 20 }, (_, index) => `key-${index}`);
+    for (const key of expired) store.put(key, valueOf(key));
     await store.sync();
     await waitUntil('sealed', () => disk.list().some((name) => name.endsWith(INDEX_NAME)));
     const index = await readFile(join(folder, INDEX_NAME));
-    for (const key of over) store.delete(key);
+    for (const key of expired) store.delete(key);
     await waitUntil('removed', () => !disk.list().some((name) => name.includes('.segment')));
     const folderAfter = folderOf(disk.startProcess());
     await replaceFile(folderAfter, INDEX_NAME, index);
@@ -205,12 +199,12 @@
   });
 });
 
-describe('the store of kept turns over drawn deaths and losses of power', () => {
-  it('holds what a sync has covered', async () => {
+describe('a value store under random kills and power failures', () => {
+  it('keeps synced values', async () => {
     expect(await playAll('file-sync')).toEqual([]);
   });
 
-  it('does so where only the sync of a folder keeps the names of its new files', async () => {
+  it('keeps synced values if file names are durable only after a folder sync', async () => {
     expect(await playAll('folder-sync-only')).toEqual([]);
   });
 });
