--- a/src/journal/begin.ts
+++ b/src/journal/begin.ts
@@ -1,6 +1,6 @@
 /**
- * Begin and restart: the only ways for an attempt to come into being. Both are committed before
- * anything is sent to a back end.
+ * The begin and restart commands, which create attempts. Both are committed before anything is sent
+ * to a backend.
  */
 import { countMessageTokens } from '../common/index.js';
 import { coversReservation, reserve, settleReservation } from './budget.js';
@@ -22,8 +22,8 @@
   runningCall,
 } from './program-state.js';
 
-/** Reasons that a later submission of the same call may overcome. */
-const PASSING_REASONS: ReadonlySet<RefusalReason> = new Set<RefusalReason>([
+/** Refusal reasons for which a new submission of the same call may succeed. */
+const TRANSIENT_REASONS: ReadonlySet<RefusalReason> = new Set<RefusalReason>([
   'out-of-order',
   'call-in-progress',
   'overloaded',
@@ -34,10 +34,10 @@
 ]);
 
 export function refusal(reason: RefusalReason): RefusedResult {
-  return { status: 'refused', reason, canSendAgain: PASSING_REASONS.has(reason) };
+  return { status: 'refused', reason, canSendAgain: TRANSIENT_REASONS.has(reason) };
 }
 
-/** Marks a submission, and all before it, as never to run. */
+/** Marks a submission and all earlier ones of the call as refused permanently. */
 export function markRefused(program: ProgramRecord, sequence: number, submission: number): void {
   const key = String(sequence);
   program.refused[key] = Math.max(program.refused[key] ?? 0, submission);
@@ -54,9 +54,9 @@
   if (existing) return resultForExisting(state, program, existing, command);
   if (isRefused(program, command.sequence, command.submission)) return refusal('refused-before');
   const reservation = costCeiling(program, command.request, command.serviceCost);
-  const reason = reasonAgainst(state, program, command, reservation);
+  const reason = findRefusalReason(state, program, command, reservation);
   if (reason) {
-    // Told "not run", so no delayed copy of this submission may begin later.
+    // The caller is told that the call did not run, so a delayed duplicate must not begin later.
     markRefused(program, command.sequence, command.submission);
     return refusal(reason);
   }
@@ -74,7 +74,7 @@
     },
     mayHaveRun: false,
   };
-  return admit(state, program, call);
+  return addCall(state, program, call);
 }
 
 export function applyRestart(state: JournalState, command: RestartCommand): RestartResult {
@@ -88,7 +88,7 @@
   const { reservation } = call.current;
   const chain = state.chainOf(program);
   const neverRan = command.neverRanToken === call.current.token;
-  // A lost attempt may have spent all that was held back for it.
+  // A lost attempt may have spent its whole reservation.
   settleReservation(chain, reservation, neverRan ? 0 : reservation);
   call.mayHaveRun ||= !neverRan;
   if (!coversReservation(chain, reservation)) {
@@ -110,7 +110,7 @@
     reservation,
   };
   reserve(chain, reservation);
-  noteBackend(program, call);
+  recordBackend(program, call);
   return begunResult(state, program, call);
 }
 
@@ -121,7 +121,7 @@
   command: BeginCommand,
 ): BeginResult {
   if (call.requestHash !== command.requestHash) {
-    // The call under way may be withdrawn; a delayed copy of this request must not run then.
+    // The running call may be withdrawn, after which a delayed duplicate of this request must not run.
     markRefused(program, command.sequence, command.submission);
     return { status: 'conflict' };
   }
@@ -130,7 +130,7 @@
   return { status: 'running', call: copyCall(call) };
 }
 
-function reasonAgainst(
+function findRefusalReason(
   state: JournalState,
   program: ProgramRecord,
   command: BeginCommand,
@@ -147,14 +147,14 @@
   return undefined;
 }
 
-/** The most that one attempt of a call can cost, in tokens. */
+/** Maximum cost of one attempt of a call, in tokens. */
 function costCeiling(program: ProgramRecord, request: CallRequest, serviceCost: number): number {
   if (request.kind === 'service') return serviceCost;
   const promptTokens = program.historyTokens + countMessageTokens(request.messages);
   return promptTokens + request.maxOutputTokens;
 }
 
-function admit(state: JournalState, program: ProgramRecord, call: CallRecord): BegunResult {
+function addCall(state: JournalState, program: ProgramRecord, call: CallRecord): BegunResult {
   program.calls.push(call);
   const isRepeat = call.requestHash === program.lastRequestHash;
   program.repeatedCalls = isRepeat ? program.repeatedCalls + 1 : 1;
@@ -162,11 +162,11 @@
   program.lastActivityMs = state.clockMs;
   delete program.refused[String(call.sequence)];
   reserve(state.chainOf(program), call.current.reservation);
-  noteBackend(program, call);
+  recordBackend(program, call);
   return begunResult(state, program, call);
 }
 
-function noteBackend(program: ProgramRecord, call: CallRecord): void {
+function recordBackend(program: ProgramRecord, call: CallRecord): void {
   if (call.request.kind !== 'model') return;
   if (!program.backends.includes(call.current.backend)) {
     program.backends.push(call.current.backend);
--- a/src/journal/budget.ts
+++ b/src/journal/budget.ts
@@ -1,10 +1,10 @@
-/** Budgets along the chain from a program up to its root; the root's budget covers all below it. */
+/** Budget accounting along the chain from a program to its root, whose budget covers all descendants. */
 import type { ProgramRecord } from './program-state.js';
 
-/** A program and all programs above it. */
+/** A program followed by its ancestors. */
 export type ProgramChain = readonly ProgramRecord[];
 
-/** Whether every budget along the chain still covers `amount` tokens. */
+/** Whether every budget along the chain covers another `amount` tokens. */
 export function coversReservation(chain: ProgramChain, amount: number): boolean {
   return chain.every((program) => program.spent + program.reserved + amount <= program.budget);
 }
@@ -13,7 +13,7 @@
   for (const program of chain) program.reserved += amount;
 }
 
-/** Turns a reservation into spending; what was not spent is free again. */
+/** Replaces a reservation by its cost; the rest becomes available again. */
 export function settleReservation(chain: ProgramChain, reservation: number, cost: number): void {
   for (const program of chain) {
     program.reserved -= reservation;
@@ -21,7 +21,7 @@
   }
 }
 
-/** Corrects what an attempt was charged, when its real cost becomes known later. */
+/** Corrects the charge of an attempt whose actual cost becomes known later. */
 export function correctSpending(chain: ProgramChain, difference: number): void {
   for (const program of chain) program.spent += difference;
 }
--- a/src/journal/commands.ts
+++ b/src/journal/commands.ts
@@ -1,4 +1,4 @@
-/** Commands of the journal and their results. */
+/** Commands and queries of the journal and their results. */
 import type {
   CallOutcome,
   CallRecord,
@@ -9,7 +9,7 @@
   ProgramRecord,
 } from './program-state.js';
 
-/** Fields of every command that names a program on behalf of a tenant. */
+/** Common fields of commands that address a program of a tenant. */
 interface ProgramCommand {
   programId: string;
   tenant: string;
@@ -24,7 +24,7 @@
   limits: ProgramLimits;
 }
 
-/** Records that an attempt is about to be sent to a back end. */
+/** Records that an attempt is about to be sent to a backend. */
 export interface BeginCommand extends ProgramCommand {
   type: 'begin';
   sequence: number;
@@ -34,16 +34,16 @@
   token: string;
   gateway: GatewayIdentity;
   backend: string;
-  /** Fixed cost ceiling of a service call; for model calls the journal works it out. */
+  /** Maximum cost of a service call; for model calls the journal computes it. */
   serviceCost: number;
 }
 
-/** Starts another attempt of a repeatable call whose attempt `fromAttempt` is lost. */
+/** Starts another attempt of a repeatable call whose attempt `fromAttempt` was lost. */
 export interface RestartCommand extends ProgramCommand {
   type: 'restart';
   sequence: number;
   fromAttempt: number;
-  /** The lost attempt's token when its own gateway knows that it was never taken anywhere. */
+  /** Token of the lost attempt, if its own gateway knows that no backend accepted it. */
   neverRanToken?: string;
   token: string;
   gateway: GatewayIdentity;
@@ -58,11 +58,11 @@
   answer: string;
   cost: number;
   finishReason: string;
-  /** Engines that this gateway used for the call. */
+  /** Backends that this gateway used for the call. */
   backends: string[];
 }
 
-/** Takes an attempt back that was certainly not sent; the submission is refused for good. */
+/** Withdraws an attempt that was certainly not sent, and refuses its submission permanently. */
 export interface WithdrawCommand extends ProgramCommand {
   type: 'withdraw';
   sequence: number;
@@ -71,7 +71,7 @@
   reason: RefusalReason;
 }
 
-/** Makes sure that a submission never runs. */
+/** Refuses a submission permanently. */
 export interface RefuseCommand extends ProgramCommand {
   type: 'refuse';
   sequence: number;
@@ -84,14 +84,14 @@
   reason: EndReason;
 }
 
-/** A back end confirmed that it holds no memory of an ended program. */
+/** Records that a backend confirmed the release of an ended program's memory. */
 export interface ReleasedCommand {
   type: 'released';
   programId: string;
   backend: string;
 }
 
-/** Ends programs that are past deadline or idle, and forgets those ended long ago. */
+/** Ends expired and idle programs, and removes programs whose retention is over. */
 export interface SweepCommand {
   type: 'sweep';
 }
@@ -107,9 +107,9 @@
   | ReleasedCommand
   | SweepCommand;
 
-/** A command as it is replicated: with the journal time that the leader gave it. */
+/** A replicated command with the journal time that the leader assigned. */
 export interface TimestampedCommand {
-  /** Milliseconds of journal time; never goes back, unrelated to wall-clock time. */
+  /** Journal time in milliseconds: monotonic and unrelated to wall-clock time. */
   atMs: number;
   command: JournalCommand;
 }
@@ -140,12 +140,12 @@
   canSendAgain: boolean;
 }
 
-/** Another request is recorded under this sequence number. */
+/** A different request is recorded under this sequence number. */
 export interface ConflictResult {
   status: 'conflict';
 }
 
-/** The call is under way. */
+/** The call is running. */
 export interface RunningResult {
   status: 'running';
   call: CallRecord;
@@ -162,9 +162,9 @@
   model: string;
   /** Prompt tokens including this call's messages. */
   promptTokens: number;
-  /** Tokens that the program and those above and below it have spent, for scheduling. */
+  /** Tokens spent by all programs under the same root, for scheduling. */
   attainedService: number;
-  /** The back end that served the previous model call. */
+  /** Backend that served the previous model call. */
   previousBackend?: string;
 }
 
@@ -190,12 +190,12 @@
 export type RefuseResult = RefusedResult | RunningResult | SettledResult | UnknownProgramResult;
 export type EndResult = EndedResult | UnknownProgramResult;
 
-/** A program without its calls' contents. */
+/** A program without the contents of its calls. */
 export type ProgramSummary = Omit<ProgramRecord, 'calls' | 'refused' | 'children'> & {
   callCount: number;
 };
 
-/** One call's part of a program's history. */
+/** The part of a program's history that one call added. */
 export interface HistoryTurn {
   sequence: number;
   messages: CallRequest['messages'];
@@ -206,7 +206,7 @@
   | { type: 'program'; programId: string; tenant: string }
   | { type: 'call'; programId: string; tenant: string; sequence: number }
   | { type: 'history'; programId: string; tenant: string; afterSequence: number }
-  /** Which of these programs have ended or are not known any more. */
+  /** Which of these programs have ended or are unknown. */
   | { type: 'ended-programs'; programIds: string[] }
   | { type: 'statistics' };
 
--- a/src/journal/index.ts
+++ b/src/journal/index.ts
@@ -1,4 +1,4 @@
-/** The journal: what programs did, replicated before and after every call. */
+/** The journal: replicated records of programs and their calls, written before and after each call. */
 export * from './commands.js';
 export { JournalClient } from './journal-client.js';
 export { JournalLeader } from './journal-leader.js';
--- a/src/journal/journal-client.ts
+++ b/src/journal/journal-client.ts
@@ -1,4 +1,4 @@
-/** Typed access to the journal groups from a gateway. */
+/** Typed client of the journal groups for gateways. */
 import type { GroupClient, TryResult } from '../consensus/index.js';
 import type {
   BeginCommand,
@@ -23,13 +23,13 @@
 import { AWAIT_SETTLED, type AwaitSettledResponse } from './messages.js';
 import { journalGroupOf } from './program-id.js';
 
-/** Beyond the wait itself, how long one member may take to answer. */
-const AWAIT_ANSWER_MS = 700;
+/** Time beyond the wait itself that one member may take to respond, in milliseconds. */
+const AWAIT_RESPONSE_MS = 700;
 
 export interface JournalClientOptions {
   groups: GroupClient;
   groupCount: number;
-  /** How long one command may take, in milliseconds. */
+  /** Timeout of one command, in milliseconds. */
   timeoutMs: number;
 }
 
@@ -56,7 +56,7 @@
     return this.execute(command);
   }
 
-  /** @param timeoutMs how long to try. @default the client's */
+  /** @param timeoutMs timeout of the command. @default the client's timeout */
   refuse(command: RefuseCommand, timeoutMs?: number): Promise<RefuseResult> {
     return this.execute(command, timeoutMs);
   }
@@ -77,7 +77,7 @@
     return this.query({ type: 'history', programId, tenant, afterSequence });
   }
 
-  /** Waits at most `waitMs` for a call to settle, then answers with what is known. */
+  /** Waits at most `waitMs` for a call to settle, then returns its current state. */
   async awaitSettled(
     programId: string,
     tenant: string,
@@ -87,7 +87,7 @@
     const { groups, groupCount, timeoutMs } = this.options;
     const group = journalGroupOf(programId, groupCount);
     const request = { group, programId, tenant, sequence, waitMs };
-    const tryTimeoutMs = waitMs + AWAIT_ANSWER_MS;
+    const tryTimeoutMs = waitMs + AWAIT_RESPONSE_MS;
     const limits = { timeoutMs: waitMs + timeoutMs, tryTimeoutMs };
     return groups.callWithRedirect(group, AWAIT_SETTLED, request, readAwaitSettled, limits);
   }
--- a/src/journal/journal-leader.ts
+++ b/src/journal/journal-leader.ts
@@ -1,6 +1,6 @@
 /**
- * What a journal group's leader does beside replicating: gives commands their journal time, wakes
- * those who wait for a call, sweeps, and delivers releases of engine memory until confirmed.
+ * Tasks of a journal group's leader: assigns journal time to commands, notifies waiters for calls,
+ * proposes sweeps, and delivers releases of backend memory until they are confirmed.
  */
 import { monotonicMs, SignalEvent } from '../common/index.js';
 import { NotLeaderError, type ReplicatedGroup } from '../consensus/index.js';
@@ -30,7 +30,7 @@
     this.group = group;
   }
 
-  /** Starts or ends the leader's tasks. */
+  /** Starts or stops the leader's tasks. */
   onLeadershipChange(): void {
     this.stop();
     if (!this.group.isLeader) return;
@@ -52,7 +52,7 @@
     this.changed.notify();
   }
 
-  /** Adds the journal time to a command that came from a gateway. */
+  /** Adds the journal time to a command from a gateway. */
   prepareCommand(body: Uint8Array): Uint8Array {
     return this.stamp(decodeValue<JournalCommand>(body));
   }
@@ -61,7 +61,7 @@
     return answerJournalQuery(this.stateMachine.state, decodeValue<JournalQuery>(body));
   }
 
-  /** @throws NotLeaderError when this member does not lead or stops leading */
+  /** @throws NotLeaderError when this member is not the leader or loses leadership */
   async awaitSettled(request: AwaitSettledRequest): Promise<CallResponse> {
     await this.group.confirmLeadership();
     const deadline = monotonicMs() + request.waitMs;
--- a/src/journal/journal-random.test.ts
+++ b/src/journal/journal-random.test.ts
@@ -1,4 +1,4 @@
-/** The journal under random sequences of commands. */
+/** Invariants of the journal under random command sequences. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { CEILING, JournalBench, TENANT } from '../../tests/support/journal-bench.js';
@@ -7,7 +7,7 @@
 const { apply, open, begin, finish, restart } = bench;
 
 describe('random commands', () => {
-  it('never exceed a budget, run a refused submission or leave a gap in the calls', () => {
+  it('never exceed a budget, run a refused submission or leave a gap between calls', () => {
     const step = fc.record({
       action: fc.constantFrom('begin', 'finish', 'restart', 'refuse', 'end', 'withdraw'),
       child: fc.integer({ min: 0, max: 2 }),
--- a/src/journal/journal-state-machine.ts
+++ b/src/journal/journal-state-machine.ts
@@ -1,4 +1,4 @@
-/** The journal as a replicated state machine: one handler for each command. */
+/** Replicated state machine of the journal: dispatches each command to its handler. */
 import type { StateMachine } from '../consensus/index.js';
 import { decodeValue } from '../wire/index.js';
 import { applyBegin, applyRestart } from './begin.js';
@@ -10,7 +10,7 @@
 export class JournalStateMachine implements StateMachine {
   readonly state = new JournalState();
 
-  /** @param onChange called after each applied command, for those who wait for a call to settle */
+  /** @param onChange called after each applied command */
   constructor(private readonly onChange: (command: JournalCommand) => void = () => undefined) {}
 
   apply(encoded: Uint8Array): unknown {
--- a/src/journal/journal-state.ts
+++ b/src/journal/journal-state.ts
@@ -1,4 +1,4 @@
-/** The journal's state: programs, and the releases of engine memory that are still to be confirmed. */
+/** State of the journal: programs, and unconfirmed releases of backend memory. */
 import { decodeValue, encodeValue } from '../wire/index.js';
 import type { ProgramChain } from './budget.js';
 import type { CallRecord, ProgramRecord } from './program-state.js';
@@ -13,10 +13,10 @@
   /** Journal time of the latest command, in milliseconds. */
   clockMs = 0;
   readonly programs = new Map<string, ProgramRecord>();
-  /** Ended programs and the back ends that have not confirmed the release of their memory. */
+  /** Ended programs with the backends that have not confirmed the release of their memory. */
   readonly releases = new Map<string, Set<string>>();
 
-  /** The program, if it is the tenant's; another tenant's program does not exist for it. */
+  /** Returns the program if it belongs to the tenant. */
   find(programId: string, tenant: string): ProgramRecord | undefined {
     const program = this.programs.get(programId);
     return program?.tenant === tenant ? program : undefined;
@@ -65,7 +65,7 @@
   }
 }
 
-/** A copy that later commands do not change, for results. */
+/** Copies a call for a result, so that later commands do not change it. */
 export function copyCall(call: CallRecord): CallRecord {
   return { ...call, current: { ...call.current } };
 }
--- a/src/journal/journal.test.ts
+++ b/src/journal/journal.test.ts
@@ -1,4 +1,4 @@
-/** The journal's rules, command by command. */
+/** Behavior of each journal command. */
 import { beforeEach, describe, expect, it } from 'vitest';
 import {
   CEILING,
@@ -16,8 +16,8 @@
 
 beforeEach(() => bench.reset());
 
-describe('order', () => {
-  it('begins a call only when the one before it is settled', () => {
+describe('call order', () => {
+  it('begins a call only after the previous one is settled', () => {
     const program = open();
     expect(begin(program, 2)).toMatchObject({ status: 'refused', reason: 'out-of-order' });
     expect(begin(program, 1)).toMatchObject({ status: 'begun' });
@@ -27,8 +27,8 @@
   });
 });
 
-describe('at most once', () => {
-  it('answers a repeated submission with the record', () => {
+describe('at-most-once execution', () => {
+  it('returns the recorded call for a repeated submission', () => {
     const program = open();
     begin(program, 1);
     expect(begin(program, 1)).toMatchObject({ status: 'running' });
@@ -37,21 +37,21 @@
     expect(again).toMatchObject({ status: 'settled', call: { settled: { outcome: 'completed' } } });
   });
 
-  it('recognises its own begin when the answer was lost', () => {
+  it('accepts a retried begin with the same token', () => {
     const program = open();
     const command = beginCommand(program, 1);
     apply(command);
     expect(apply(command)).toMatchObject({ status: 'begun' });
   });
 
-  it('refuses another request under the same number', () => {
+  it('reports a conflict for another request with the same sequence number', () => {
     const program = open();
     begin(program, 1);
     finish(program, 1);
     expect(begin(program, 1, { requestHash: 'other' })).toEqual({ status: 'conflict' });
   });
 
-  it('never restarts a call that may not be repeated', () => {
+  it('does not restart a call that is not repeatable', () => {
     const program = open();
     const service = { name: 'pay', operation: 'write', payload: '1' };
     const request = { kind: 'service' as const, messages: [], maxOutputTokens: 0, service };
@@ -59,7 +59,7 @@
     expect(restart(program, 1, {})).toMatchObject({ status: 'running' });
   });
 
-  it('lets only one gateway restart a lost attempt, and fences the old one', () => {
+  it('lets one gateway restart a lost attempt, and fences the old attempt', () => {
     const program = open();
     begin(program, 1);
     expect(restart(program, 1, {})).toMatchObject({ status: 'begun' });
@@ -69,8 +69,8 @@
   });
 });
 
-describe('not run', () => {
-  it('keeps a refused submission from running later', () => {
+describe('refused submissions', () => {
+  it('prevents a refused submission from running later', () => {
     const program = open();
     begin(program, 2);
     begin(program, 1);
@@ -79,14 +79,14 @@
     expect(begin(program, 2, { submission: 2 })).toMatchObject({ status: 'begun' });
   });
 
-  it('refuses for good what a gateway refused by itself', () => {
+  it('does not run a submission that a gateway refused', () => {
     const program = open();
     const refuse = { programId: program, tenant: TENANT, sequence: 1, submission: 1 };
     apply({ type: 'refuse', reason: 'overloaded', ...refuse });
     expect(begin(program, 1)).toMatchObject({ reason: 'refused-before' });
   });
 
-  it('does not refuse what is under way', () => {
+  it('does not refuse a running call', () => {
     const program = open();
     begin(program, 1);
     const refuse = { programId: program, tenant: TENANT, sequence: 1, submission: 1 };
@@ -94,7 +94,7 @@
     expect(answer).toMatchObject({ status: 'running' });
   });
 
-  it('takes an attempt back only for the gateway that holds it', () => {
+  it('withdraws an attempt only for the gateway that owns it', () => {
     const program = open();
     const command = beginCommand(program, 1);
     apply(command);
@@ -110,7 +110,7 @@
     expect(begin(program, 1)).toMatchObject({ reason: 'refused-before' });
   });
 
-  it('never says so of a call of which an earlier attempt may have run', () => {
+  it('does not withdraw a call if an earlier attempt may have run', () => {
     const program = open();
     begin(program, 1);
     const second = restart(program, 1, { token: 'second' });
@@ -124,7 +124,7 @@
 });
 
 describe('budget', () => {
-  it('reserves the ceiling, settles the cost and refuses what is not covered', () => {
+  it('reserves the maximum cost, settles the actual cost and refuses calls that are not covered', () => {
     const program = open({ budget: CEILING });
     begin(program, 1);
     expect(summary(program)).toMatchObject({ spent: 0, reserved: CEILING });
@@ -133,14 +133,14 @@
     expect(begin(program, 2)).toMatchObject({ reason: 'budget-exhausted' });
   });
 
-  it('lets sub-agents that race spend the root budget once', () => {
+  it('does not let concurrent sub-agents overspend the root budget', () => {
     const root = open({ budget: CEILING });
     const [left, right] = [open({ parent: root }), open({ parent: root })];
     expect(begin(left, 1)).toMatchObject({ status: 'begun' });
     expect(begin(right, 1)).toMatchObject({ reason: 'budget-exhausted' });
   });
 
-  it('counts a lost attempt in full before another one may start', () => {
+  it('charges a lost attempt in full before a restart', () => {
     const program = open({ budget: 2 * CEILING - 1 });
     begin(program, 1);
     const answer = restart(program, 1, {});
@@ -148,7 +148,7 @@
     expect(summary(program)).toMatchObject({ spent: CEILING, reserved: 0 });
   });
 
-  it('gives a reservation back when the attempt certainly never ran', () => {
+  it('releases the reservation of an attempt that certainly never ran', () => {
     const program = open({ budget: CEILING });
     begin(program, 1, { token: 'first' });
     expect(restart(program, 1, { neverRanToken: 'first' })).toMatchObject({ status: 'begun' });
@@ -156,7 +156,7 @@
   });
 });
 
-describe('tenancy', () => {
+describe('tenant isolation', () => {
   it('hides a program from other tenants in every command and query', () => {
     const program = open();
     begin(program, 1);
@@ -175,7 +175,7 @@
     }
   });
 
-  it('does not take another tenant’s program as a parent', () => {
+  it('rejects a program of another tenant as a parent', () => {
     const root = open();
     const answer = apply({
       type: 'open',
@@ -192,7 +192,7 @@
 });
 
 describe('limits', () => {
-  it('stops a program that repeats the same call', () => {
+  it('refuses a call that was repeated too often', () => {
     const program = open();
     for (const sequence of [1, 2, 3]) {
       begin(program, sequence, { requestHash: 'same' });
@@ -201,7 +201,7 @@
     expect(begin(program, 4, { requestHash: 'same' })).toMatchObject({ reason: 'looping' });
   });
 
-  it('limits calls and depth', () => {
+  it('limits the number of calls and the nesting depth', () => {
     const program = open({ limits: { ...LIMITS, maxCalls: 1, maxDepth: 0 } });
     begin(program, 1);
     finish(program, 1);
@@ -220,7 +220,7 @@
     ).toMatchObject({ reason: 'depth-limit' });
   });
 
-  it('ends programs at their deadline and when idle', () => {
+  it('ends programs at their deadline and after the idle timeout', () => {
     const late = open({ deadlineMs: 100 });
     const idle = open({ limits: { ...LIMITS, idleTimeoutMs: 50 } });
     apply({ type: 'sweep' }, 60);
@@ -231,7 +231,7 @@
 });
 
 describe('end', () => {
-  it('ends sub-agents too and asks every engine to release, until confirmed', () => {
+  it('ends sub-agents too, and requests a release from each backend until it is confirmed', () => {
     const root = open();
     const child = open({ parent: root });
     begin(root, 1);
@@ -249,7 +249,7 @@
     expect(releases()).toEqual([[child, ['engine-2']]]);
   });
 
-  it('asks again when an attempt ends after its program', () => {
+  it('requests another release when an attempt finishes after its program ended', () => {
     const program = open();
     begin(program, 1);
     apply({ type: 'end', programId: program, tenant: TENANT, reason: 'ended-by-caller' });
@@ -258,7 +258,7 @@
     expect([...bench.machine.state.releases.keys()]).toEqual([program]);
   });
 
-  it('settles a call under way as unknown and charges it in full', () => {
+  it('settles a running call as unknown and charges it in full', () => {
     const program = open();
     begin(program, 1);
     apply({ type: 'end', programId: program, tenant: TENANT, reason: 'ended-by-caller' });
@@ -268,7 +268,7 @@
 });
 
 describe('snapshots', () => {
-  it('restores the same state', () => {
+  it('restore the same state', () => {
     const program = open();
     begin(program, 1);
     finish(program, 1);
--- a/src/journal/lifecycle.ts
+++ b/src/journal/lifecycle.ts
@@ -1,4 +1,4 @@
-/** Opening and ending programs, and the sweep that ends and forgets them. */
+/** Opening and ending of programs, and the sweep that ends and removes them. */
 import { refusal } from './begin.js';
 import type {
   EndCommand,
@@ -13,7 +13,7 @@
 import { type EndReason, type ProgramRecord, runningCall } from './program-state.js';
 import { settleAsUnknown } from './settle.js';
 
-/** Journal time for which an ended program's answers can still be fetched, in milliseconds. */
+/** Journal time for which an ended program remains readable, in milliseconds. */
 const RETENTION_MS = 10 * 60 * 1_000;
 
 export function summarize(program: ProgramRecord): ProgramSummary {
@@ -56,31 +56,31 @@
   const now = state.clockMs;
   for (const program of state.programs.values()) {
     if (program.status === 'open') {
-      const reason = reasonToEnd(program, now);
+      const reason = dueEndReason(program, now);
       if (reason) endProgram(state, program, reason);
-    } else if (mayForget(state, program, now)) {
+    } else if (canRemove(state, program, now)) {
       state.programs.delete(program.id);
     }
   }
   return { status: 'ended' };
 }
 
-/** Whether a sweep would change anything now. */
+/** Whether a sweep would end or remove a program now. */
 export function needsSweep(state: JournalState, now: number): boolean {
   for (const program of state.programs.values()) {
-    if (program.status === 'open' && reasonToEnd(program, now)) return true;
-    if (program.status === 'ended' && mayForget(state, program, now)) return true;
+    if (program.status === 'open' && dueEndReason(program, now)) return true;
+    if (program.status === 'ended' && canRemove(state, program, now)) return true;
   }
   return false;
 }
 
-function reasonToEnd(program: ProgramRecord, now: number): EndReason | undefined {
+function dueEndReason(program: ProgramRecord, now: number): EndReason | undefined {
   if (now >= program.deadlineAtMs) return 'deadline';
   const isIdle = now - program.lastActivityMs >= program.limits.idleTimeoutMs;
   return isIdle && !runningCall(program) ? 'idle' : undefined;
 }
 
-function mayForget(state: JournalState, program: ProgramRecord, now: number): boolean {
+function canRemove(state: JournalState, program: ProgramRecord, now: number): boolean {
   const isOld = now - (program.endedAtMs ?? now) >= RETENTION_MS;
   return isOld && !state.releases.has(program.id);
 }
--- a/src/journal/messages.ts
+++ b/src/journal/messages.ts
@@ -1,4 +1,4 @@
-/** Messages of the journal beside commands and queries. */
+/** RPC messages of the journal other than commands and queries. */
 import { defineMethod } from '../wire/index.js';
 import type { CallResponse } from './commands.js';
 
@@ -7,12 +7,12 @@
   programId: string;
   tenant: string;
   sequence: number;
-  /** The longest to wait, in milliseconds. */
+  /** Maximum wait, in milliseconds. */
   waitMs: number;
 }
 
 export interface AwaitSettledResponse {
-  /** Absent when this member does not lead the group. */
+  /** Absent if this member is not the group's leader. */
   answer?: CallResponse;
   leaderAddress?: string;
 }
--- a/src/journal/program-id.ts
+++ b/src/journal/program-id.ts
@@ -1,6 +1,6 @@
 /**
- * Program identities. A root program's id has no dot; a sub-agent's is its parent's id, a dot and
- * its own part. All programs under one root live in the same journal group.
+ * Program ids. The id of a root program contains no dot; that of a sub-agent is its parent's id, a
+ * dot and its own part. All programs under one root belong to the same journal group.
  */
 import { randomBytes } from 'node:crypto';
 import { hash32, sha256Hex } from '../common/index.js';
@@ -15,8 +15,8 @@
 }
 
 /**
- * Makes a program id. With an idempotency key, the same tenant and key give the same id, so that a
- * repeated request opens one program.
+ * Creates a program id. With an idempotency key the id is derived from tenant, parent and key, so
+ * that a repeated request opens one program.
  */
 export function createProgramId(
   tenant: string,
@@ -34,19 +34,18 @@
   return programId.split(SEPARATOR, 1)[0]!;
 }
 
-/** How many parents a program has: 0 for a root. */
+/** Number of ancestors of a program: 0 for a root. */
 export function depthOf(programId: string): number {
   return programId.split(SEPARATOR).length - 1;
 }
 
 export const JOURNAL_GROUP_PREFIX = 'journal-';
 
-/** The name of the journal group that keeps a program. */
+/** Name of the journal group that stores a program. */
 export function journalGroupOf(programId: string, groupCount: number): string {
   return `${JOURNAL_GROUP_PREFIX}${hash32(rootOf(programId)) % groupCount}`;
 }
 
-/** Names of all journal groups. */
 export function journalGroupNames(groupCount: number): string[] {
   return Array.from({ length: groupCount }, (_, index) => `${JOURNAL_GROUP_PREFIX}${index}`);
 }
--- a/src/journal/program-state.ts
+++ b/src/journal/program-state.ts
@@ -1,15 +1,15 @@
-/** The state that the journal keeps of programs and their calls. */
+/** Records of programs and their calls in the journal. */
 import type { ChatMessage } from '../common/index.js';
 
-/** Bounds on what one program may do. */
+/** Limits of one program. */
 export interface ProgramLimits {
-  /** Calls that the program may make. */
+  /** Maximum number of calls. */
   maxCalls: number;
-  /** How deep sub-agents may nest below the root. */
+  /** Maximum nesting depth of sub-agents below the root. */
   maxDepth: number;
-  /** Equal calls in a row after which the program counts as looping. */
+  /** Number of consecutive identical calls after which the program counts as looping. */
   maxRepeatedCalls: number;
-  /** Journal time without a call after which the program is ended, in milliseconds. */
+  /** Journal time without calls after which the program is ended, in milliseconds. */
   idleTimeoutMs: number;
 }
 
@@ -17,39 +17,39 @@
 
 export type EndReason = 'ended-by-caller' | 'parent-ended' | 'deadline' | 'idle';
 
-/** The gateway that carries out an attempt. */
+/** The gateway that executes an attempt. */
 export interface GatewayIdentity {
   id: string;
-  /** Differs between two runs of the same gateway. */
+  /** Changes with each restart of the gateway. */
   incarnation: string;
 }
 
 export type CallKind = 'model' | 'service';
 
-/** How a settled call ended. `unknown`: it may have run, and nobody can tell any more. */
+/** Outcome of a settled call. `unknown`: whether it ran cannot be determined. */
 export type CallOutcome = 'completed' | 'unknown';
 
-/** What a call needs to run again or to be continued by another gateway. */
+/** Request of a call, sufficient to repeat it or to continue it on another gateway. */
 export interface CallRequest {
   kind: CallKind;
-  /** Messages that this call adds to the program's history; empty for service calls. */
+  /** Messages that the call adds to the program's history; empty for service calls. */
   messages: ChatMessage[];
-  /** Upper bound of generated tokens; 0 for service calls. */
+  /** Maximum number of generated tokens; 0 for service calls. */
   maxOutputTokens: number;
-  /** Whether running the call twice does no harm. */
+  /** Whether the call may safely run more than once. */
   isRepeatable: boolean;
-  /** Service name and encoded payload, for service calls. */
+  /** Target and payload of a service call. */
   service?: { name: string; operation: string; payload: string };
 }
 
-/** One run of a call on one back end. */
+/** One execution of a call on one backend. */
 export interface CallAttempt {
   attempt: number;
-  /** Random, chosen by the gateway: recognises its own begin when the answer was lost. */
+  /** Random token of the gateway, by which a retried begin is recognized. */
   token: string;
   gateway: GatewayIdentity;
   backend: string;
-  /** Cost ceiling held back from the budget, in tokens. */
+  /** Maximum cost, reserved from the budget, in tokens. */
   reservation: number;
 }
 
@@ -68,7 +68,7 @@
   requestHash: string;
   request: CallRequest;
   current: CallAttempt;
-  /** Whether an attempt before the current one may have run. */
+  /** Whether an earlier attempt may have run. */
   mayHaveRun: boolean;
   settled?: SettledCall;
 }
@@ -80,37 +80,37 @@
   model: string;
   status: ProgramStatus;
   endReason?: EndReason;
-  /** Tokens that the program and all below it may spend. */
+  /** Tokens that the program and its descendants may spend. */
   budget: number;
   spent: number;
-  /** Sum of the reservations of calls under way, here and below. */
+  /** Sum of the reservations of running calls of the program and its descendants. */
   reserved: number;
   limits: ProgramLimits;
   /** Journal time at which the program is ended, in milliseconds. */
   deadlineAtMs: number;
   lastActivityMs: number;
   endedAtMs?: number;
-  /** The highest sequence number whose call is settled. */
+  /** Highest sequence number of a settled call. */
   lastSettled: number;
   calls: CallRecord[];
-  /** For each sequence number: submissions up to this one will never run. */
+  /** By sequence number: the highest submission that was refused permanently. */
   refused: Record<string, number>;
-  /** Tokens of the whole history so far: the prompt of the next call without its own messages. */
+  /** Tokens of the history: the prompt of the next call without its own messages. */
   historyTokens: number;
-  /** Equal calls in a row so far, and their hash. */
+  /** Number of consecutive identical calls so far. */
   repeatedCalls: number;
   lastRequestHash: string;
-  /** Back ends that may hold memory for this program. */
+  /** Backends that may hold memory for this program. */
   backends: string[];
   children: string[];
 }
 
 export function callOf(program: ProgramRecord, sequence: number): CallRecord | undefined {
-  // Calls are kept in order without gaps, beginning with sequence number 1.
+  // Calls are stored in order without gaps, starting with sequence number 1.
   return program.calls[sequence - 1];
 }
 
-/** The call under way, if there is one. */
+/** Returns the running call, if any. */
 export function runningCall(program: ProgramRecord): CallRecord | undefined {
   const last = program.calls.at(-1);
   return last && !last.settled ? last : undefined;
--- a/src/journal/queries.ts
+++ b/src/journal/queries.ts
@@ -1,4 +1,4 @@
-/** Reads of the journal's state; all copy what they return. */
+/** Queries of the journal's state. Results are copies. */
 import type {
   CallResponse,
   EndedProgramsResponse,
--- a/src/journal/release-delivery.ts
+++ b/src/journal/release-delivery.ts
@@ -1,6 +1,6 @@
 /**
- * Delivers the releases of ended programs' engine memory. A release stays in the replicated state
- * until the back end confirmed it, so a new leader goes on where the old one stopped.
+ * Delivers releases of ended programs' memory to backends. A release remains in the replicated state
+ * until its backend confirms it, so a new leader resumes the delivery.
  */
 import { Backoff, SignalEvent, sleep } from '../common/index.js';
 import type { ReplicatedGroup } from '../consensus/index.js';
@@ -8,8 +8,8 @@
 import type { JournalState } from './journal-state.js';
 
 /**
- * Asks a back end to drop what it holds for programs that have ended.
- * @returns whether the back end confirmed, or is gone for good
+ * Requests a backend to release the memory of ended programs.
+ * @returns whether the backend confirmed, or was removed permanently
  */
 export type ReleaseSender = (
   backend: string,
@@ -29,7 +29,7 @@
 
 export class ReleaseDelivery {
   private readonly wake = new SignalEvent();
-  private readonly stopping = new AbortController();
+  private readonly stopController = new AbortController();
   private readonly busyBackends = new Set<string>();
 
   constructor(private readonly options: ReleaseDeliveryOptions) {}
@@ -38,18 +38,18 @@
     void this.run();
   }
 
-  /** Tells the task that there may be new releases. */
+  /** Wakes the delivery task after new releases. */
   notify(): void {
     this.wake.notify();
   }
 
   stop(): void {
-    this.stopping.abort();
+    this.stopController.abort();
     this.wake.notify();
   }
 
   private async run(): Promise<void> {
-    while (!this.stopping.signal.aborted) {
+    while (!this.stopController.signal.aborted) {
       for (const backend of this.backendsWithReleases()) {
         if (!this.busyBackends.has(backend)) void this.deliverTo(backend);
       }
@@ -61,16 +61,16 @@
     return new Set([...this.options.state.releases.values()].flatMap((pending) => [...pending]));
   }
 
-  /** One task a back end: tries until nothing is left to release there. */
+  /** Delivers to one backend, with retries, until it has no releases left. */
   private async deliverTo(backend: string): Promise<void> {
     this.busyBackends.add(backend);
     const backoff = new Backoff({ maximumMs: MAXIMUM_RETRY_DELAY_MS });
-    while (!this.stopping.signal.aborted) {
+    while (!this.stopController.signal.aborted) {
       const programIds = this.releasesAt(backend);
       if (programIds.length === 0) break;
       const confirmed = await this.trySend(backend, programIds);
       if (confirmed) backoff.reset();
-      else await sleep(backoff.nextDelayMs(), this.stopping.signal);
+      else await sleep(backoff.nextDelayMs(), this.stopController.signal);
     }
     this.busyBackends.delete(backend);
   }
--- a/src/journal/settle.ts
+++ b/src/journal/settle.ts
@@ -1,4 +1,4 @@
-/** Finish, withdraw and refuse: how a call comes to its end. */
+/** The finish, withdraw and refuse commands, which end calls. */
 import { countTokens, renderMessage, countMessageTokens } from '../common/index.js';
 import { isRefused, markRefused, refusal } from './begin.js';
 import { correctSpending, settleReservation } from './budget.js';
@@ -16,7 +16,7 @@
   const program = state.find(command.programId, command.tenant);
   const call = program && callOf(program, command.sequence);
   if (!program || !call) return { status: 'unknown-program' };
-  // An attempt that ended after its program left its prefix in the engine once more.
+  // An attempt that ended after its program may have cached its prefix in the backend again.
   if (program.status === 'ended') state.requestRelease(program.id, command.backends);
   if (call.current.attempt !== command.attempt) {
     return { status: call.settled ? 'settled' : 'running', call: copyCall(call) };
@@ -35,7 +35,7 @@
   if (!program) return { status: 'unknown-program' };
   if (!call) return refusal(command.reason);
   if (call.settled) return { status: 'settled', call: copyCall(call) };
-  // Only the gateway that holds the attempt knows, and only if no earlier attempt may have run.
+  // Only the gateway of the attempt can withdraw it, and only if no earlier attempt may have run.
   const isOwn = call.current.attempt === command.attempt && call.current.token === command.token;
   if (!isOwn || call.mayHaveRun) return { status: 'running', call: copyCall(call) };
   settleReservation(state.chainOf(program), call.current.reservation, 0);
@@ -56,7 +56,7 @@
   return refusal(command.reason);
 }
 
-/** Settles a call under way as `unknown`, for example because its program ends. */
+/** Settles a running call as `unknown`, for example because its program ends. */
 export function settleAsUnknown(
   state: JournalState,
   program: ProgramRecord,
@@ -81,7 +81,7 @@
   command: FinishCommand,
 ): void {
   const { reservation } = call.current;
-  // Of an unknown outcome the whole reservation counts as spent.
+  // An unknown outcome is charged with the whole reservation.
   const cost = command.outcome === 'unknown' ? reservation : Math.min(command.cost, reservation);
   settleReservation(state.chainOf(program), reservation, cost);
   const { outcome, answer, finishReason } = command;
@@ -91,7 +91,7 @@
   if (outcome === 'completed') extendHistory(program, call, answer);
 }
 
-/** A late answer of the same attempt replaces `unknown`, unless the program has gone on since. */
+/** Replaces `unknown` by a late answer of the same attempt, unless the program has made further calls. */
 function replaceUnknown(
   state: JournalState,
   program: ProgramRecord,
@@ -99,8 +99,8 @@
   command: FinishCommand,
 ): void {
   const settled = call.settled!;
-  const isNews = settled.outcome === 'unknown' && command.outcome === 'completed';
-  if (!isNews || call.sequence !== program.calls.at(-1)?.sequence) return;
+  const resolvesUnknown = settled.outcome === 'unknown' && command.outcome === 'completed';
+  if (!resolvesUnknown || call.sequence !== program.calls.at(-1)?.sequence) return;
   const cost = Math.min(command.cost, settled.cost);
   correctSpending(state.chainOf(program), cost - settled.cost);
   const { answer, finishReason } = command;
