--- a/src/value-store/index.ts
+++ b/src/value-store/index.ts
@@ -1,3 +1,3 @@
-/** Values by key on this machine's disk, with a bounded part of them in memory. */
+/** Key-value store on the local disk with a bounded in-memory cache. */
 export { type StoreFile, type StoreFolder, openStoreFolder } from './store-folder.js';
 export { ValueStore, type ValueStoreOptions } from './value-store.js';
--- a/src/value-store/orphaned-index.test.ts
+++ b/src/value-store/orphaned-index.test.ts
@@ -1,4 +1,4 @@
-/** What a loss of power leaves of a segment that was just removed. */
+/** Recovery from a power failure during the removal of a segment. */
 import { join } from 'node:path';
 import { expect, it, vi } from 'vitest';
 import { fuzzSeeds } from '../../tests/support/fuzz-seeds.js';
@@ -15,7 +15,7 @@
 
 const VALUE_BYTES = 300;
 const SEGMENT_BYTES = 1_000;
-const FORMER_KEYS = ['a', 'b', 'c', 'd'];
+const REMOVED_KEYS = ['a', 'b', 'c', 'd'];
 const LATER_KEYS = ['e', 'f'];
 
 async function openStore(disk: SimulatedDisk): Promise<ValueStore> {
@@ -34,13 +34,13 @@
   await store.sync();
 }
 
-/** @returns the keys whose synced values a start does not find */
-async function lostKeys(seed: number): Promise<string[]> {
+/** @returns keys of synced values that recovery does not find */
+async function findLostKeys(seed: number): Promise<string[]> {
   const disk = new SimulatedDisk('values', { seed });
   const first = await openStore(disk);
-  await putAndSync(first, FORMER_KEYS);
+  await putAndSync(first, REMOVED_KEYS);
   await waitUntil('sealed', () => disk.list().some((name) => name.includes('index')));
-  for (const key of FORMER_KEYS) first.delete(key);
+  for (const key of REMOVED_KEYS) first.delete(key);
   await waitUntil('removed', () => disk.list().every((name) => !name.includes('/turns/')));
   disk.losePower('draws-each');
 
@@ -51,18 +51,17 @@
   const third = await openStore(disk);
   const values = await Promise.all(LATER_KEYS.map((key) => third.get(key)));
   disk.kill();
-  return LATER_KEYS.filter((_, place) => values[place] === undefined);
+  return LATER_KEYS.filter((_, index) => values[index] === undefined);
 }
 
 /**
- * A segment whose values were all over was removed with its index, and the power went before the folder was synced:
- * the index was back, and the segment was not. The next process took the free number for its own segment; the start
- * after that read the old index for it, found none of the values that had been synced, and did not sync the segment.
+ * A power failure can restore the index of a removed segment without the segment. If a new segment reuses the number,
+ * recovery reads the stale index for it and loses synced values.
  */
-it('finds synced values though a loss of power brought back the index of a removed segment', async () => {
+it('finds synced values after a power failure restored the index of a removed segment', async () => {
   const failures: string[] = [];
   for (const seed of fuzzSeeds([], 40)) {
-    const lost = await lostKeys(seed);
+    const lost = await findLostKeys(seed);
     if (lost.length > 0) failures.push(`seed ${seed}: ${lost.join(' ')}`);
   }
   expect(failures).toEqual([]);
--- a/src/value-store/pending-values.ts
+++ b/src/value-store/pending-values.ts
@@ -1,28 +1,28 @@
-/** Values that are not written yet, in the order in which they came. */
+/** Values that are not written yet, in insertion order. */
 
 export interface PendingValue {
   key: string;
   value: Buffer;
-  /** Rises with every value that is put. */
+  /** Increases with each added value. */
   sequence: number;
 }
 
 export class PendingValues {
   private readonly values = new Map<string, PendingValue>();
   private latest = 0;
-  /** Bytes of all values together. */
+  /** Total size of the values, in bytes. */
   bytes = 0;
 
   get size(): number {
     return this.values.size;
   }
 
-  /** Sequence of the value that came last. */
+  /** Sequence number of the latest added value. */
   get latestSequence(): number {
     return this.latest;
   }
 
-  /** Whether values up to and with a sequence have all been written or dropped. */
+  /** Whether all values up to and including a sequence number have been written or dropped. */
   isDrainedUpTo(sequence: number): boolean {
     for (const oldest of this.values.values()) return oldest.sequence > sequence;
     return true;
@@ -42,7 +42,7 @@
     this.bytes += value.length;
   }
 
-  /** The oldest values, up to so many bytes but at least one; they stay until they are dropped. */
+  /** Returns the oldest values, at least one and otherwise up to `maximumBytes`, without removing them. */
   oldest(maximumBytes: number): PendingValue[] {
     const batch: PendingValue[] = [];
     let bytes = 0;
@@ -54,7 +54,7 @@
     return batch;
   }
 
-  /** @returns whether it was still pending */
+  /** @returns whether the value was pending */
   drop(key: string): boolean {
     const pending = this.values.get(key);
     if (!pending) return false;
--- a/src/value-store/segment-files.ts
+++ b/src/value-store/segment-files.ts
@@ -1,7 +1,7 @@
 /**
- * The segment files of a value store: appending to the last one, sealing it once it is large
- * enough, and removing those that hold nothing any more. A start never goes on writing in a file of
- * the run before, whose end may be torn.
+ * Segment files of a value store: appends to the last segment, seals it at its size limit, and
+ * removes segments. Segments of a previous process are never appended to, since their end may be
+ * torn.
  */
 import { StorageFailedError, readBytes, storageError, writeWhole } from '../log-store/index.js';
 import type { StoreFile, StoreFolder } from './store-folder.js';
@@ -14,31 +14,31 @@
   segmentNumbers,
 } from './value-segment.js';
 
-/** One encoded record that is to be appended. */
+/** A record to be appended. */
 export interface EncodedRecord {
   key: string;
   record: Buffer;
 }
 
-/** What a start finds in one segment. */
+/** A segment found during recovery. */
 export interface RecoveredSegment {
   segment: ValueSegment;
   records: SegmentIndexEntry[];
-  /** Only a segment that was sealed has an index. */
+  /** Only sealed segments have an index. */
   hasIndex: boolean;
 }
 
 export class SegmentFiles {
   private readonly segments: ValueSegment[] = [];
   /**
-   * The highest number that a segment or an index had. None is used again: after a loss of power the index of a
-   * removed segment may be there without it.
+   * Highest number of any segment or index. Numbers are not reused: after a power failure the index of a removed
+   * segment may reappear without its segment.
    */
   private highestNumber = 0;
-  /** Records of the segment that is written to, for its index. */
+  /** Records of the current segment, for its index. */
   private currentRecords: SegmentIndexEntry[] = [];
 
-  /** @param segmentBytes a segment is sealed once it has this many bytes */
+  /** @param segmentBytes size at which a segment is sealed */
   constructor(
     private readonly folder: StoreFolder,
     private readonly segmentBytes: number,
@@ -48,13 +48,13 @@
     return this.segments;
   }
 
-  /** Bytes of all segments. */
+  /** Total size of the segments, in bytes. */
   get bytes(): number {
     return this.segments.reduce((sum, segment) => sum + segment.bytes, 0);
   }
 
   /**
-   * Opens what the folder holds; every segment found is sealed, and durable before anybody reads of it.
+   * Opens the existing segments. Each counts as sealed and is durable before it is read from.
    * @throws StorageFailedError
    */
   async recover(): Promise<RecoveredSegment[]> {
@@ -72,7 +72,7 @@
       segment.bytes = await segment.file.size();
       segment.isSealed = true;
       const hasIndex = names.includes(segment.indexName);
-      // A process that was killed leaves writes in the machine's memory: a loss of power would take them.
+      // A killed process may have left unsynced writes, which a power failure would lose.
       if (!hasIndex) await this.syncSegment(segment);
       const records =
         (hasIndex && (await this.readIndex(segment))) ||
@@ -84,9 +84,9 @@
   }
 
   /**
-   * Appends records behind one another, without a sync.
-   * @returns the segment and where each record begins in it
-   * @throws DiskFullError when there is no room; the same may be appended again later
+   * Appends records to the current segment, without a sync.
+   * @returns the segment and the offset of each record
+   * @throws DiskFullError when the disk is full; the append may be retried
    */
   async append(
     records: readonly EncodedRecord[],
@@ -96,7 +96,7 @@
     try {
       await writeWhole(segment.file!, bytes, segment.bytes);
     } catch (cause) {
-      // A part that stays is written over by the next append, and skipped by a start.
+      // A partial write is overwritten by the next append, and skipped during recovery.
       throw storageError(cause, { step: 'value-store.append', peer: segment.name });
     }
     const offsets: number[] = [];
@@ -108,15 +108,15 @@
     return { segment, offsets };
   }
 
-  /** Makes everything that was appended durable. @throws StorageFailedError */
+  /** Makes all appended records durable. @throws StorageFailedError */
   async sync(): Promise<void> {
     const last = this.segments.at(-1);
     if (last && !last.isSealed) await this.syncSegment(last);
   }
 
   /**
-   * Closes the last segment to new records once it is large enough, and writes its index.
-   * @throws DiskFullError when the index has no room: the segment stands without one
+   * Seals the current segment once it has reached the size limit, and writes its index.
+   * @throws DiskFullError when the disk is full; the segment then has no index
    */
   async sealIfLarge(): Promise<void> {
     const segment = this.segments.at(-1);
@@ -128,12 +128,12 @@
     await this.folder.replace(segment.indexName, encodeIndex(records));
   }
 
-  /** The whole content of a segment. */
+  /** Reads a whole segment. */
   read(segment: ValueSegment): Promise<Buffer> {
     return readWholeFile(segment.file!, segment.bytes);
   }
 
-  /** Removes a sealed segment; reads of it that are under way fail. */
+  /** Removes a sealed segment. Concurrent reads of it fail. */
   async remove(segment: ValueSegment): Promise<void> {
     this.segments.splice(this.segments.indexOf(segment), 1);
     await segment.file?.close();
@@ -177,7 +177,7 @@
   }
 }
 
-/** What is there of so many bytes. */
+/** Reads `length` bytes from the start of a file; empty if the file is shorter. */
 async function readWholeFile(file: StoreFile, length: number): Promise<Buffer> {
   return (await readBytes(file, 0, length)) ?? Buffer.alloc(0);
 }
--- a/src/value-store/store-folder.ts
+++ b/src/value-store/store-folder.ts
@@ -1,4 +1,4 @@
-/** The files of a value store, and the few operations on them that it needs. */
+/** File operations that a value store uses. */
 import { type FileHandle, open, readdir, rm } from 'node:fs/promises';
 import { join } from 'node:path';
 import {
@@ -10,28 +10,28 @@
   syncFolder,
 } from '../log-store/index.js';
 
-/** One file; offsets and lengths are in bytes. */
+/** A file of the store. Offsets and lengths are in bytes. */
 export interface StoreFile extends LogFile, ReadableFile {
   size(): Promise<number>;
 }
 
-/** A folder whose files belong to one store. Names stand without their folder. */
+/** The folder of one store. File names are relative to it. */
 export interface StoreFolder {
-  /** Where the folder is, for errors and log lines. */
+  /** Path of the folder, for errors and log entries. */
   readonly path: string;
   list(): Promise<string[]>;
-  /** Makes an empty file. @throws DiskFullError when there is no room for it */
+  /** Creates an empty file. @throws DiskFullError when the disk is full */
   create(name: string): Promise<StoreFile>;
-  /** Opens a file for reading, and for syncing what was written to it before. */
+  /** Opens an existing file for reading and syncing. */
   open(name: string): Promise<StoreFile>;
-  /** Writes a whole file: after a crash it is there whole or not at all. */
+  /** Replaces a file atomically: after a crash it has either the old or the new content. */
   replace(name: string, bytes: Uint8Array): Promise<void>;
   remove(name: string): Promise<void>;
-  /** Makes the names of files that were made or removed last. */
+  /** Makes the creation and removal of files durable. */
   sync(): Promise<void>;
 }
 
-/** A folder of the file system, made if it is not there. */
+/** Opens a folder of the file system, and creates it if it does not exist. */
 export async function openStoreFolder(path: string): Promise<StoreFolder> {
   await makeFolder(path);
   return {
--- a/src/value-store/unreadable-value.test.ts
+++ b/src/value-store/unreadable-value.test.ts
@@ -1,4 +1,4 @@
-/** A value whose file can't be read for a moment. */
+/** A value whose file is temporarily unreadable. */
 import { expect, it, onTestFinished } from 'vitest';
 import { temporaryFolder } from '../../tests/support/temporary-folder.js';
 import { createLogger } from '../observability/index.js';
@@ -8,9 +8,9 @@
 const KEY = 'a';
 const VALUE = Buffer.from('the value of a');
 
-/** A folder whose files can't be read while its machine is short of something. */
+/** A folder whose files can be made to fail reads. */
 class FolderWithReadErrors {
-  failsReads = false;
+  hasReadErrors = false;
 
   async open(): Promise<StoreFolder> {
     const folder = await openStoreFolder(temporaryFolder());
@@ -22,20 +22,16 @@
   }
 
   private withErrors(file: StoreFile): StoreFile {
-    const read: StoreFile['read'] = (...place) => {
-      if (!this.failsReads) return file.read(...place);
+    const read: StoreFile['read'] = (...args) => {
+      if (!this.hasReadErrors) return file.read(...args);
       return Promise.reject(Object.assign(new Error('no memory'), { code: 'ENOMEM' }));
     };
     return { ...file, read };
   }
 }
 
-/**
- * A read that failed counts as a damaged value: the value is dropped, and its segment is removed once nothing else stands in
- * it. A member that is short of memory for a moment destroys what it holds so, says to others that it has lost it, and
- * more than half of the voters in that state let a new member give the turn up.
- */
-it('is held still when the error is over', async () => {
+/** A transient read error, such as ENOMEM, must not be taken for a damaged value, which would be deleted. */
+it('keeps a value after a transient read error', async () => {
   const files = new FolderWithReadErrors();
   const store = await ValueStore.open({
     folder: await files.open(),
@@ -46,9 +42,9 @@
   onTestFinished(() => store.close());
   store.put(KEY, VALUE);
   await store.sync();
-  files.failsReads = true;
+  files.hasReadErrors = true;
   await store.get(KEY).catch(() => undefined);
-  files.failsReads = false;
+  files.hasReadErrors = false;
   expect(store.has(KEY)).toBe(true);
   expect(await store.get(KEY)).toEqual(VALUE);
 });
--- a/src/value-store/unsynced-segment.test.ts
+++ b/src/value-store/unsynced-segment.test.ts
@@ -1,14 +1,6 @@
 /**
- * A journal's process was killed while its machine ran on, and the next one found what it had written but
- * not synced: the bytes were in the machine's memory only. It took them for durable, made a snapshot after
- * syncing nothing but its own file, and let the log go that held the same values. When all machines lost their
- * power, the file of the killed process was empty on every journal, and turns that went on from one of its
- * turns were refused until the end.
- *
- *     kept_turns_disk_bytes 2578693, kept_turns_written_bytes 38867   (0.8 s after the start)
- *     kept_turns_disk_bytes 3453433, kept_turns_written_bytes 913607  (before the loss of power)
- *     kept_turns_disk_bytes 1315171, kept_turns_written_bytes 484319  (after it)
- *     kept turns fetched: asked 25, missing 25
+ * Values that a killed process wrote without a sync are only in the page cache. The next process must sync them
+ * before it treats them as durable, since a later power failure would lose them.
  */
 import { expect, it, onTestFinished } from 'vitest';
 import { SimulatedFolder } from '../../tests/support/simulated-folder.js';
@@ -33,7 +25,7 @@
   return Buffer.from(`the value of ${key}`);
 }
 
-/** Writes values as a process does that is killed before anything asks for a sync. */
+/** Writes values without a sync, like a process that is killed before its first sync. */
 async function writeWithoutSync(folder: SimulatedFolder): Promise<void> {
   const store = await openStore(folder);
   for (const key of KEYS) store.put(key, valueOf(key));
@@ -44,7 +36,7 @@
   for (const key of keys) expect((await store.get(key))?.toString()).toBe(valueOf(key).toString());
 }
 
-it('makes durable with a sync what a killed process wrote and did not sync', async () => {
+it('syncs the unsynced values of a killed process', async () => {
   const folder = new SimulatedFolder();
   await writeWithoutSync(folder);
   const successor = await openStore(folder);
@@ -56,7 +48,7 @@
   await expectValues(afterwards, [...KEYS, OWN_KEY]);
 });
 
-it('does so also where the successor has nothing to write itself', async () => {
+it('syncs them even if the new process writes nothing itself', async () => {
   const folder = new SimulatedFolder();
   await writeWithoutSync(folder);
   const successor = await openStore(folder);
--- a/src/value-store/value-segment.ts
+++ b/src/value-store/value-segment.ts
@@ -1,10 +1,10 @@
-/** One segment file of a value store: its name, what it holds, and the index beside it. */
+/** Segment files of a value store and their index files. */
 import { crc32 } from 'node:zlib';
 import { decodeValue, encodeValue } from '../wire/index.js';
 import type { SegmentIndexEntry } from './value-record.js';
 import type { StoreFile } from './store-folder.js';
 
-const PREFIX = 'values-';
+const NAME_PREFIX = 'values-';
 const SEGMENT_SUFFIX = '.segment';
 const INDEX_SUFFIX = '.index';
 const NUMBER_DIGITS = 10;
@@ -13,11 +13,11 @@
 export class ValueSegment {
   /** Bytes written so far. */
   bytes = 0;
-  /** Bytes of records that are still wanted. */
+  /** Bytes of live records. */
   liveBytes = 0;
-  /** Nothing is appended any more, and everything in it is synced. */
+  /** Whether the segment is immutable and fully synced. */
   isSealed = false;
-  /** Open for as long as the segment is there. */
+  /** Open until the segment is removed. */
   file: StoreFile | undefined;
 
   constructor(readonly number: number) {}
@@ -30,45 +30,45 @@
     return `${this.stem}${INDEX_SUFFIX}`;
   }
 
-  /** Bytes of records that nobody wants any more. */
+  /** Bytes of deleted or superseded records. */
   get deadBytes(): number {
     return this.bytes - this.liveBytes;
   }
 
   private get stem(): string {
-    return `${PREFIX}${String(this.number).padStart(NUMBER_DIGITS, '0')}`;
+    return `${NAME_PREFIX}${String(this.number).padStart(NUMBER_DIGITS, '0')}`;
   }
 }
 
-/** Numbers of the segments among the names of files, lowest first. */
+/** Segment numbers found among file names, in ascending order. */
 export function segmentNumbers(names: readonly string[]): number[] {
   return numbersOf(names, SEGMENT_SUFFIX);
 }
 
-/** Numbers of the indexes among the names of files, lowest first. */
+/** Index numbers found among file names, in ascending order. */
 export function indexNumbers(names: readonly string[]): number[] {
   return numbersOf(names, INDEX_SUFFIX);
 }
 
 function numbersOf(names: readonly string[], suffix: string): number[] {
   return names
-    .filter((name) => name.startsWith(PREFIX) && name.endsWith(suffix))
-    .map((name) => Number(name.slice(PREFIX.length, -suffix.length)))
+    .filter((name) => name.startsWith(NAME_PREFIX) && name.endsWith(suffix))
+    .map((name) => Number(name.slice(NAME_PREFIX.length, -suffix.length)))
     .sort((left, right) => left - right);
 }
 
-/** Where a value stands. */
+/** Location of a value on disk. */
 export interface ValueLocation {
   segment: ValueSegment;
-  /** Place of the whole record, in bytes. */
+  /** Offset of the whole record, in bytes. */
   offset: number;
   length: number;
 }
 
-/** What an index file holds: field order is the format. */
+/** Content of an index file. The field order is part of the format. */
 type StoredIndex = [key: string, offset: number, length: number][];
 
-/** The records of a sealed segment, so that a start need not read the segment. */
+/** Encodes the index of a sealed segment, so that recovery need not scan the segment. */
 export function encodeIndex(records: readonly SegmentIndexEntry[]): Buffer {
   const stored: StoredIndex = records.map(({ key, offset, length }) => [key, offset, length]);
   const body = encodeValue(stored);
@@ -77,7 +77,7 @@
   return Buffer.concat([checksum, body]);
 }
 
-/** @returns undefined when the index is damaged, so that the segment must be read */
+/** @returns undefined if the index is corrupt and the segment must be scanned */
 export function decodeIndex(bytes: Buffer): SegmentIndexEntry[] | undefined {
   if (bytes.length < CHECKSUM_BYTES) return undefined;
   const body = bytes.subarray(CHECKSUM_BYTES);
--- a/src/value-store/value-store.test.ts
+++ b/src/value-store/value-store.test.ts
@@ -1,4 +1,4 @@
-/** Values on disk: against a model, over losses of power at each step, full and damaged disks. */
+/** Value store: model-based tests, power failure at each operation, full disks and damaged records. */
 import fc from 'fast-check';
 import { describe, expect, it, onTestFinished } from 'vitest';
 import { PowerLostError, SimulatedFolder } from '../../tests/support/simulated-folder.js';
@@ -11,9 +11,9 @@
 import { decodeValueRecord, encodeValueRecord, scanValueRecords } from './value-record.js';
 import { ValueStore, type ValueStoreOptions } from './value-store.js';
 
-const SMALL_SEGMENT = 1_000;
-/** What is left of unsynced writes is drawn so often for each operation at which power goes. */
-const SEEDS_A_STEP = 8;
+const SMALL_SEGMENT_BYTES = 1_000;
+/** Random outcomes of unsynced writes that are tried per power failure. */
+const SEEDS_PER_OPERATION = 8;
 
 function valueOf(key: string, bytes = 200): Buffer {
   return Buffer.from(`${key}:`.repeat(Math.ceil(bytes / (key.length + 1)))).subarray(0, bytes);
@@ -33,7 +33,7 @@
     folder,
     logger: createLogger({ test: 'value-store' }),
     onFatal: (error) => void fatal.push(error),
-    segmentBytes: SMALL_SEGMENT,
+    segmentBytes: SMALL_SEGMENT_BYTES,
     cacheBytes: 300,
     ...options,
   });
@@ -54,18 +54,15 @@
 }
 
 describe('a value store', () => {
-  /**
-   * Symptom: a process that stops waits for ever. Sequence: values are put, the store is closed, and a sync
-   * waits for what is not written any more. Cause: it waited for a writer that had ended.
-   */
-  it('does not let a sync wait for what a closed store no longer writes', async () => {
+  /** A sync must not wait for the writer of a closed store, which would block the shutdown of the process. */
+  it('rejects a sync of values that a closed store does not write', async () => {
     const { store } = await open(await openStoreFolder(temporaryFolder()));
     await store.close();
     putAll(store, keysFrom(0, 1));
     await expect(store.sync()).rejects.toThrow('closed');
   });
 
-  it('gives back what was put, before and after it is written, and after a restart', async () => {
+  it('returns values before and after they are written, and after a restart', async () => {
     const folder = await openStoreFolder(temporaryFolder());
     const { store } = await open(folder);
     const keys = keysFrom(0, 30);
@@ -74,20 +71,20 @@
     await store.sync();
     await expectAll(store, keys);
     await store.close();
-    const { store: again } = await open(folder);
-    await expectAll(again, keys);
-    expect(again.size).toBe(30);
-    expect(await again.get('none')).toBeUndefined();
+    const { store: reopened } = await open(folder);
+    await expectAll(reopened, keys);
+    expect(reopened.size).toBe(30);
+    expect(await reopened.get('none')).toBeUndefined();
   });
 
-  it('writes what gathers without a sync, after a moment', async () => {
+  it('writes buffered values without a sync after the write delay', async () => {
     const { store } = await open(new SimulatedFolder());
     putAll(store, keysFrom(0, 3));
     expect(store.pendingBytes).toBeGreaterThan(0);
     await waitUntil('written', () => store.pendingBytes === 0);
   });
 
-  it('holds no more in memory than its limits, whatever is kept', async () => {
+  it('limits the size of unwritten values', async () => {
     const folder = new SimulatedFolder();
     const { store } = await open(folder, { maxPendingBytes: 1_000 });
     for (const key of keysFrom(0, 200)) {
@@ -100,7 +97,7 @@
     expect(store.size).toBe(200);
   });
 
-  it('removes segments of which nothing is wanted, and moves the rest of mostly dead ones', async () => {
+  it('removes segments without live values and compacts segments with few', async () => {
     const folder = new SimulatedFolder();
     const { store } = await open(folder);
     const keys = keysFrom(0, 100);
@@ -112,13 +109,13 @@
     await waitUntil('mostly removed', () => store.diskBytes.total < full / 3);
     await expectAll(store, kept);
     await store.close();
-    const { store: again } = await open(folder);
-    again.retain((key) => kept.includes(key));
-    await expectAll(again, kept);
-    expect(again.size).toBe(kept.length);
+    const { store: reopened } = await open(folder);
+    reopened.retain((key) => kept.includes(key));
+    await expectAll(reopened, kept);
+    expect(reopened.size).toBe(kept.length);
   });
 
-  it('writes little more than was put when values leave in the order in which they came', async () => {
+  it('has little write amplification when values are deleted in insertion order', async () => {
     const { store } = await open(new SimulatedFolder());
     for (let first = 0; first < 600; first += 20) {
       putAll(store, keysFrom(first, 20));
@@ -130,11 +127,11 @@
     expect(store.diskBytes.total).toBeLessThan(putBytes / 3);
   });
 
-  it('does not miss a value that comes just as its writer goes to rest', async () => {
+  it('writes a value that is put just before the writer goes idle', async () => {
     const { store } = await open(new SimulatedFolder(), { maxPendingBytes: 0 });
     for (let gap = 0; gap < 40; gap += 1) {
       store.put(`first-${gap}`, valueOf('first'));
-      // Resolves in the step in which the value is written, some steps before the writer rests.
+      // Resolves in the microtask that wrote the value, a few microtasks before the writer goes idle.
       await store.waitForRoom();
       for (let turn = 0; turn < gap; turn += 1) await Promise.resolve();
       store.put(`second-${gap}`, valueOf('second'));
@@ -143,7 +140,7 @@
     }
   });
 
-  it('does not read what it never had, nor writes what was dropped before', async () => {
+  it('does not write a value that was deleted before its write', async () => {
     const folder = new SimulatedFolder();
     const { store } = await open(folder);
     store.put('a', valueOf('a'));
@@ -155,7 +152,7 @@
 });
 
 describe('a damaged value', () => {
-  it('is never served; those beside it are', async () => {
+  it('is never returned, while its neighbors are', async () => {
     const folder = new SimulatedFolder();
     const keys = keysFrom(0, 3);
     const { store } = await open(folder, { cacheBytes: 1 });
@@ -171,7 +168,7 @@
     await expectAll(store, keys);
   });
 
-  it('is not found by a start, whether its segment has an index or not', async () => {
+  it('is not returned after a restart, with or without an index of its segment', async () => {
     const folder = new SimulatedFolder();
     const keys = keysFrom(0, 8);
     const { store } = await open(folder);
@@ -182,17 +179,17 @@
     const index = folder.names.find((name) => name.endsWith('.index'))!;
     folder.damage(index, 9);
     folder.damage(segments[0]!, 250);
-    const { store: again } = await open(folder);
-    expect(await again.get('key-1')).toBeUndefined();
+    const { store: reopened } = await open(folder);
+    expect(await reopened.get('key-1')).toBeUndefined();
     await expectAll(
-      again,
+      reopened,
       keys.filter((key) => key !== 'key-1'),
     );
   });
 });
 
 describe('a full disk', () => {
-  it('fails a sync, goes on serving, and writes once there is room', async () => {
+  it('fails a sync, keeps serving reads, and writes once there is space', async () => {
     const folder = new SimulatedFolder();
     const { store, fatal } = await open(folder);
     putAll(store, keysFrom(0, 3));
@@ -205,31 +202,33 @@
     await waitUntil('written', () => store.pendingBytes === 0);
     await store.sync();
     await store.close();
-    const { store: again } = await open(folder);
-    await expectAll(again, keysFrom(0, 6));
+    const { store: reopened } = await open(folder);
+    await expectAll(reopened, keysFrom(0, 6));
     expect(fatal).toEqual([]);
   });
 
-  it('by the quota makes room from what is dead, and refuses when all is wanted', async () => {
-    const { store, fatal } = await open(new SimulatedFolder(), { quotaBytes: 6 * SMALL_SEGMENT });
+  it('at the quota reclaims dead values, and fails a sync when all values are live', async () => {
+    const { store, fatal } = await open(new SimulatedFolder(), {
+      quotaBytes: 6 * SMALL_SEGMENT_BYTES,
+    });
     const keys = keysFrom(0, 22);
     putAll(store, keys);
     await store.sync();
     putAll(store, keysFrom(22, 8));
     await expect(store.sync()).rejects.toBeInstanceOf(DiskFullError);
-    expect(store.diskBytes.total).toBeLessThanOrEqual(6 * SMALL_SEGMENT);
-    // Every second one goes: no segment is empty, so the rest of some has to be moved.
+    expect(store.diskBytes.total).toBeLessThanOrEqual(6 * SMALL_SEGMENT_BYTES);
+    // Deleting every second value empties no segment, so live values must be moved.
     const dropped = keys.filter((_, index) => index % 2 === 0);
     for (const key of dropped) store.delete(key);
     await waitUntil('written', () => store.pendingBytes === 0);
     await store.sync();
     await expectAll(store, [...keys.filter((key) => !dropped.includes(key)), ...keysFrom(22, 8)]);
-    expect(store.diskBytes.total).toBeLessThanOrEqual(6 * SMALL_SEGMENT);
+    expect(store.diskBytes.total).toBeLessThanOrEqual(6 * SMALL_SEGMENT_BYTES);
     expect(fatal).toEqual([]);
   });
 });
 
-/** Puts, syncs, drops and cleans; tells through `synced` and `dropped` what may be relied on. */
+/** Puts, syncs, deletes and compacts; records in `synced` and `dropped` what is guaranteed. */
 async function scenario(
   store: ValueStore,
   synced: Set<string>,
@@ -240,7 +239,7 @@
     putAll(store, keys);
     await store.sync();
     for (const key of keys) synced.add(key);
-    // One of each segment stays, so that it is moved.
+    // One value per segment stays live, so that it is moved.
     for (const key of keys.filter((_, index) => index % 5 !== 0)) {
       dropped.add(key);
       store.delete(key);
@@ -249,14 +248,14 @@
   }
 }
 
-describe('a loss of power', () => {
-  it('at any operation keeps every value that was synced and is still wanted', async () => {
-    const calm = new SimulatedFolder();
-    const { store } = await open(calm);
+describe('a power failure', () => {
+  it('at any operation loses no live value that was synced', async () => {
+    const undisturbed = new SimulatedFolder();
+    const { store } = await open(undisturbed);
     await scenario(store, new Set(), new Set());
     await store.close();
     const operations = new Set<string>();
-    for (let at = 2; at <= calm.operations.length; at += 1) {
+    for (let at = 2; at <= undisturbed.operations.length; at += 1) {
       const folder = new SimulatedFolder();
       folder.powerLossAt = at;
       const synced = new Set<string>();
@@ -270,10 +269,10 @@
       ]);
       operations.add(folder.operations.at(-1)!);
       const wanted = [...synced].filter((key) => !dropped.has(key));
-      for (let seed = 0; seed < SEEDS_A_STEP; seed += 1) {
+      for (let seed = 0; seed < SEEDS_PER_OPERATION; seed += 1) {
         const left = folder.afterPowerLoss(new SeededRandom(seed));
-        const { store: again, fatal } = await open(left);
-        await expectAll(again, wanted);
+        const { store: reopened, fatal } = await open(left);
+        await expectAll(reopened, wanted);
         expect(fatal).toEqual([]);
       }
     }
@@ -283,9 +282,9 @@
   });
 });
 
-/** A store beside a plain map of what it must hold. */
+/** A store and a model of its expected content. */
 class ModelledStore {
-  /** Wanted keys, and whether a sync has covered them. */
+  /** Live keys, and whether a sync has covered them. */
   private readonly wanted = new Map<string, boolean>();
   private folder = new SimulatedFolder();
   private opened!: OpenedStore;
@@ -332,7 +331,7 @@
     await waitUntil('written', () => this.store.pendingBytes === 0);
   }
 
-  /** The machine runs on: what was written stays, synced or not. */
+  /** Kills the process only: written values survive, synced or not. */
   async kill(): Promise<void> {
     await this.store.close();
     await this.startWithWhatIsLeft();
@@ -371,7 +370,7 @@
     { weight: 1, arbitrary: fc.record({ kind: fc.constant('losePower' as const), key }) },
   );
 
-  it('holds what it must and nothing else', async () => {
+  it('holds exactly the expected values', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.array(step, { minLength: 20, maxLength: 60, size: 'max' }),
@@ -388,12 +387,12 @@
   });
 });
 
-describe('the reader of records', () => {
+describe('the record decoder', () => {
   const originals = keysFrom(0, 12).map((key, index) => ({ key, value: valueOf(key, index * 9) }));
   const bytes = Buffer.concat(originals.map(({ key, value }) => encodeValueRecord(key, value)));
   const known = new Map(originals.map(({ key, value }) => [key, value.toString()]));
 
-  it('never takes a damaged or torn record for a whole one', () => {
+  it('never accepts a damaged or torn record', () => {
     const random = new SeededRandom(7);
     for (let round = 0; round < 3_000; round += 1) {
       const copy = Buffer.from(bytes.subarray(0, random.integer(0, bytes.length)));
@@ -406,7 +405,7 @@
     }
   });
 
-  it('finds every whole record behind a damaged one', () => {
+  it('finds every intact record after a damaged one', () => {
     for (let damaged = 0; damaged < bytes.length; damaged += 1) {
       const copy = Buffer.from(bytes);
       copy[damaged]! ^= 0x10;
--- a/src/value-store/value-store.ts
+++ b/src/value-store/value-store.ts
@@ -1,9 +1,9 @@
 /**
- * Values on this machine's disk by key: written once, read rarely, dropped after a while. The heap
- * holds a location a value, the values that are not written yet, and a cache with a limit.
+ * Key-value store on the local disk for values that are written once, read rarely and deleted after
+ * a while. The heap holds the location of each value, unwritten values and a bounded cache.
  *
- * The store by itself promises only what a `sync` has covered; whoever puts values keeps them
- * elsewhere until then (here: in the replicated log).
+ * Only values covered by a `sync` are durable. Until then the caller must be able to recover them
+ * from elsewhere, such as the replicated log.
  */
 import { LRUCache } from 'lru-cache';
 import { LedgegaugeError, SignalEvent, describeError } from '../common/index.js';
@@ -21,45 +21,44 @@
 import type { ValueLocation, ValueSegment } from './value-segment.js';
 
 const MIB = 1024 * 1024;
-/** Small enough that moving the rest of one holds little up; large enough for few files. */
 const DEFAULT_SEGMENT_BYTES = 4 * MIB;
 const DEFAULT_CACHE_BYTES = 8 * MIB;
 const DEFAULT_MAX_PENDING_BYTES = 4 * MIB;
-/** Bytes of values that are written in one go. */
+/** Maximum size of one write, in bytes of values. */
 const WRITE_BATCH_BYTES = MIB;
-/** A sealed segment is cleaned when less than this share of it is still wanted. */
-const CLEAN_BELOW_SHARE = 0.25;
-/** A full store cleans no segment of which less than this share is dead: it would gain too little. */
-const WORTHWHILE_DEAD_SHARE = 0.1;
+/** Sealed segments are compacted when their share of live bytes is below this. */
+const COMPACTION_LIVE_SHARE = 0.25;
+/** Minimum share of dead bytes at which a full store compacts a segment. */
+const MIN_RECLAIMABLE_SHARE = 0.1;
 /**
- * Values gather until somebody needs them on disk, there are so many bytes of them, or the oldest has waited
- * for so long, in milliseconds: they come one by one, and each write costs as much processor time as a message.
+ * Values are buffered until a sync waits for them, their size reaches this threshold, or the write delay has
+ * elapsed, which limits the number of small writes.
  */
 const WRITE_THRESHOLD_BYTES = 256 * 1024;
 const DEFAULT_WRITE_DELAY_MS = 100;
-/** Error code of a read that the disk can't do; any other may be over soon, as a lack of memory is. */
-const DAMAGED_CODE = 'EIO';
-/** Pause between two tries on a full disk, in milliseconds: as the write-ahead log's. */
-const FULL_RETRY_MS = 100;
+/** Error code of a failed disk read. Other read errors may be transient. */
+const DISK_ERROR_CODE = 'EIO';
+/** Retry delay while the disk is full, in milliseconds. */
+const DISK_FULL_RETRY_MS = 100;
 
 export interface ValueStoreOptions {
   folder: StoreFolder;
   logger: Logger;
-  /** Called once when a write or sync failed so that the process must end. */
+  /** Called once when a write or sync failed, after which the process must exit. */
   onFatal: (error: unknown) => void;
-  /** Bytes that all segments together may take. @default no limit */
+  /** Maximum total size of the segments. @default no limit */
   quotaBytes?: number;
-  /** A segment is closed once it has this many bytes. @default 4 MiB */
+  /** Size at which a segment is sealed. @default 4 MiB */
   segmentBytes?: number;
-  /** Bytes of values that are kept in memory after they were written or read. @default 8 MiB */
+  /** Maximum size of the cache of written and read values. @default 8 MiB */
   cacheBytes?: number;
-  /** Bytes of values that may wait to be written before `waitForRoom` holds up. @default 4 MiB */
+  /** Size of unwritten values above which `waitForRoom` waits. @default 4 MiB */
   maxPendingBytes?: number;
-  /** Longest time for which values gather before they are written, in milliseconds. @default 100 */
+  /** Maximum delay before a buffered value is written, in milliseconds. @default 100 */
   writeDelayMs?: number;
 }
 
-/** The store was closed; what was put last may not be on disk. */
+/** The store was closed before the latest values were written. */
 export class ValueStoreClosedError extends LedgegaugeError {}
 
 export class ValueStore {
@@ -72,19 +71,19 @@
   private readonly quotaBytes: number;
   private readonly writeDelayMs: number;
   private readonly wake = new SignalEvent();
-  /** Notified when something was written, or when the disk was found full. */
+  /** Notified after each write, and when the disk becomes full. */
   private readonly progress = new SignalEvent();
   private isFull = false;
   private isClosing = false;
-  /** Syncs that wait for what is pending. */
+  /** Number of syncs that wait for pending values. */
   private waitingSyncs = 0;
   private writeDelayTimer: NodeJS.Timeout | undefined;
-  /** The oldest pending value has waited for long enough. */
+  /** Whether the write delay of the oldest pending value has elapsed. */
   private hasDelayElapsed = false;
-  /** Something came since the writer last looked; it may have looked just before. */
-  private hasNews = false;
+  /** Whether the writer was woken since it last checked for work. */
+  private isWakePending = false;
   private writer: Promise<void> = Promise.resolve();
-  /** Bytes of records: put by callers, written in all, and moved by cleaning; damaged records. */
+  /** Bytes of records put by callers, written in total and moved by compaction; number of damaged records. */
   readonly counters = { putBytes: 0, writtenBytes: 0, movedBytes: 0, damaged: 0 };
 
   private constructor(private readonly options: ValueStoreOptions) {
@@ -99,7 +98,7 @@
     });
   }
 
-  /** Opens the folder and finds every undamaged value in it. */
+  /** Opens the store and recovers the intact values. */
   static async open(options: ValueStoreOptions): Promise<ValueStore> {
     const store = new ValueStore(options);
     await store.recover();
@@ -107,12 +106,12 @@
     return store;
   }
 
-  /** Values that are held. */
+  /** Number of values, written or pending. */
   get size(): number {
     return this.locations.size + this.pending.size;
   }
 
-  /** Bytes on disk, and those of them that are still wanted. */
+  /** Total and live bytes on disk. */
   get diskBytes(): { total: number; live: number } {
     const live = this.files.all.reduce((sum, { liveBytes }) => sum + liveBytes, 0);
     return { total: this.files.bytes, live };
@@ -126,7 +125,7 @@
     return this.locations.has(key) || this.pending.has(key);
   }
 
-  /** Takes a value over; it is written soon. A key that is held keeps its value. */
+  /** Adds a value, which is written asynchronously. An existing key keeps its value. */
   put(key: string, value: Buffer): void {
     if (this.has(key)) return;
     this.pending.add(key, value);
@@ -135,7 +134,7 @@
     else this.writeDelayTimer ??= setTimeout(() => this.endWriteDelay(), this.writeDelayMs);
   }
 
-  /** @returns undefined when the value is not held, can't be read now, or is damaged, which drops it */
+  /** @returns undefined if the value is absent, temporarily unreadable, or damaged; damaged values are deleted */
   async get(key: string): Promise<Buffer | undefined> {
     for (;;) {
       const inMemory = this.pending.find(key) ?? this.cache.get(key);
@@ -143,7 +142,7 @@
       const location = this.locations.get(key);
       if (!location) return undefined;
       const read = await this.readValue(key, location);
-      // Moved, dropped or written meanwhile: what was read may be of a file that is gone.
+      // The value was moved, deleted or written during the read, whose file may have been removed.
       if (this.locations.get(key) !== location) continue;
       if (this.isClosing || read === 'unreadable') return undefined;
       if (read === 'damaged') this.dropDamaged(key, location);
@@ -152,44 +151,43 @@
     }
   }
 
-  /** The value is not wanted any more. */
   delete(key: string): void {
     this.cache.delete(key);
     this.pending.drop(key);
     const location = this.locations.get(key);
     if (!location) return;
     this.locations.delete(key);
-    this.release(location);
+    this.releaseRecord(location);
     this.wakeWriter();
   }
 
-  /** Drops every value whose key is not wanted. */
-  retain(isWanted: (key: string) => boolean): void {
-    for (const key of this.locations.keys()) if (!isWanted(key)) this.delete(key);
+  /** Deletes all written values whose keys do not match the predicate. */
+  retain(isLive: (key: string) => boolean): void {
+    for (const key of this.locations.keys()) if (!isLive(key)) this.delete(key);
   }
 
   /**
-   * Resolves when everything put before is durable.
-   * @throws DiskFullError when the disk, or the store's share of it, has no room for it now
-   * @throws ValueStoreClosedError when the store was closed before it was written
+   * Resolves once all values put before are durable.
+   * @throws DiskFullError when the disk or the quota is full
+   * @throws ValueStoreClosedError when the store was closed before they were written
    */
   async sync(): Promise<void> {
     const sequence = this.pending.latestSequence;
     this.waitingSyncs += 1;
     try {
-      await this.waitWritten(sequence);
+      await this.waitUntilWritten(sequence);
     } finally {
       this.waitingSyncs -= 1;
     }
     await this.files.sync();
   }
 
-  /** Resolves once few enough bytes wait to be written. */
+  /** Applies backpressure: resolves once the unwritten values are below the limit. */
   async waitForRoom(): Promise<void> {
     while (this.pending.bytes > this.maxPendingBytes && !this.isClosing) await this.progress.wait();
   }
 
-  /** Ends after the write that is under way; what still waits is not written. */
+  /** Closes the store after the current write. Values that are still pending are not written. */
   async close(): Promise<void> {
     this.isClosing = true;
     clearTimeout(this.writeDelayTimer);
@@ -199,11 +197,11 @@
     await this.files.close();
   }
 
-  private async waitWritten(sequence: number): Promise<void> {
+  private async waitUntilWritten(sequence: number): Promise<void> {
     if (!this.pending.isDrainedUpTo(sequence)) this.wakeWriter();
     while (!this.pending.isDrainedUpTo(sequence)) {
       if (this.isFull) throw this.fullError();
-      // Nobody writes it any more: the process that stops would wait for ever.
+      // The writer has stopped, so waiting would never end.
       if (this.isClosing) throw this.closedError();
       await this.progress.wait();
     }
@@ -224,7 +222,8 @@
   private async recover(): Promise<void> {
     const recovered = await this.files.recover();
     for (const { segment, records } of recovered) {
-      for (const { key, offset, length } of records) this.place(key, { segment, offset, length });
+      for (const { key, offset, length } of records)
+        this.setLocation(key, { segment, offset, length });
     }
     const unsealed = recovered.filter(({ hasIndex }) => !hasIndex);
     this.options.logger.info('value store opened', {
@@ -239,36 +238,36 @@
   private async runWriter(): Promise<void> {
     while (!this.isClosing) {
       try {
-        this.hasNews = false;
-        const didWork = await this.workOnce();
-        this.noteFull(false);
-        if (!didWork && !this.hasNews) await this.wake.wait();
+        this.isWakePending = false;
+        const hadWork = await this.runOnce();
+        this.setFull(false);
+        if (!hadWork && !this.isWakePending) await this.wake.wait();
       } catch (error) {
         if (!(error instanceof DiskFullError)) {
           this.options.onFatal(error);
           return;
         }
-        this.noteFull(true);
-        await this.wake.waitWithTimeout(FULL_RETRY_MS);
+        this.setFull(true);
+        await this.wake.waitWithTimeout(DISK_FULL_RETRY_MS);
       }
     }
   }
 
   private wakeWriter(): void {
-    this.hasNews = true;
+    this.isWakePending = true;
     this.wake.notify();
   }
 
-  /** One step of the writer. @returns whether there was something to do */
-  private async workOnce(): Promise<boolean> {
+  /** Runs one step of the writer. @returns whether there was work to do */
+  private async runOnce(): Promise<boolean> {
     await this.removeEmptySegments();
     if (this.pending.size > 0 && this.isWriteDue) {
       await this.writePending();
       return true;
     }
     this.hasDelayElapsed = false;
-    const segment = this.worthCleaning();
-    if (segment) await this.clean(segment);
+    const segment = this.findCompactable();
+    if (segment) await this.compact(segment);
     return segment !== undefined;
   }
 
@@ -279,22 +278,22 @@
     const locations = await this.append(records);
     for (const [index, { key, value }] of batch.entries()) {
       if (!this.pending.drop(key)) continue;
-      this.place(key, locations[index]!);
+      this.setLocation(key, locations[index]!);
       this.cache.set(key, value);
     }
     this.progress.notify();
     await this.files.sealIfLarge();
   }
 
-  /** @throws DiskFullError when the store's share of the disk is used up by what is wanted */
+  /** @throws DiskFullError when live values use up the quota */
   private async makeRoomFor(records: readonly EncodedRecord[]): Promise<void> {
     const bytes = records.reduce((sum, { record }) => sum + record.length, 0);
-    // Cleaning needs room for what it moves, which is less than a segment.
+    // Compaction needs room for the moved records, which are smaller than a segment.
     const limit = this.quotaBytes - this.segmentBytes;
     while (this.files.bytes + bytes > limit) {
-      const deadest = this.deadestSegment();
-      if (!deadest) throw this.fullError();
-      await this.clean(deadest);
+      const candidate = this.segmentWithMostDeadBytes();
+      if (!candidate) throw this.fullError();
+      await this.compact(candidate);
     }
   }
 
@@ -306,14 +305,14 @@
     });
   }
 
-  private place(key: string, location: ValueLocation): void {
+  private setLocation(key: string, location: ValueLocation): void {
     const earlier = this.locations.get(key);
-    if (earlier) this.release(earlier);
+    if (earlier) this.releaseRecord(earlier);
     this.locations.set(key, location);
     location.segment.liveBytes += location.length;
   }
 
-  private release({ segment, length }: ValueLocation): void {
+  private releaseRecord({ segment, length }: ValueLocation): void {
     segment.liveBytes -= length;
   }
 
@@ -321,29 +320,29 @@
     for (const segment of this.files.all.filter(isSealedAndEmpty)) await this.files.remove(segment);
   }
 
-  private worthCleaning(): ValueSegment | undefined {
+  private findCompactable(): ValueSegment | undefined {
     return this.files.all.find(
-      ({ isSealed, liveBytes, bytes }) => isSealed && liveBytes < bytes * CLEAN_BELOW_SHARE,
+      ({ isSealed, liveBytes, bytes }) => isSealed && liveBytes < bytes * COMPACTION_LIVE_SHARE,
     );
   }
 
-  private deadestSegment(): ValueSegment | undefined {
+  private segmentWithMostDeadBytes(): ValueSegment | undefined {
     const candidates = this.files.all.filter(
-      ({ isSealed, deadBytes, bytes }) => isSealed && deadBytes > bytes * WORTHWHILE_DEAD_SHARE,
+      ({ isSealed, deadBytes, bytes }) => isSealed && deadBytes > bytes * MIN_RECLAIMABLE_SHARE,
     );
     return candidates.sort((left, right) => right.deadBytes - left.deadBytes)[0];
   }
 
-  /** Moves what is still wanted of a segment to the current one, then removes the segment. */
-  private async clean(segment: ValueSegment): Promise<void> {
-    const moved = this.wantedRecords(segment, await this.files.read(segment));
+  /** Moves the live records of a segment to the current segment, then removes it. */
+  private async compact(segment: ValueSegment): Promise<void> {
+    const moved = this.liveRecords(segment, await this.files.read(segment));
     if (moved.length > 0) {
       const locations = await this.append(moved);
       for (const [index, { key, record }] of moved.entries()) {
         this.counters.movedBytes += record.length;
-        if (this.locations.get(key)?.segment === segment) this.place(key, locations[index]!);
+        if (this.locations.get(key)?.segment === segment) this.setLocation(key, locations[index]!);
       }
-      // Only then may the place go at which they are durable so far.
+      // The moved records must be durable before their old location is removed.
       await this.files.sync();
     }
     for (const [key, location] of this.locations) {
@@ -353,7 +352,7 @@
     await this.files.sealIfLarge();
   }
 
-  private wantedRecords(segment: ValueSegment, bytes: Buffer): EncodedRecord[] {
+  private liveRecords(segment: ValueSegment, bytes: Buffer): EncodedRecord[] {
     return scanValueRecords(bytes)
       .filter(({ key, offset }) => {
         const location = this.locations.get(key);
@@ -375,11 +374,11 @@
     } catch (error) {
       const context = { segment: segment.name, cause: describeError(error) };
       this.options.logger.warn('value not read', context);
-      return (error as NodeJS.ErrnoException).code === DAMAGED_CODE ? 'damaged' : 'unreadable';
+      return (error as NodeJS.ErrnoException).code === DISK_ERROR_CODE ? 'damaged' : 'unreadable';
     }
   }
 
-  /** A damaged value counts as not held, so that it is fetched from where it stands as well. */
+  /** Deletes a damaged value, so that the caller can restore it from a replica. */
   private dropDamaged(key: string, location: ValueLocation): void {
     const { segment, offset } = location;
     this.counters.damaged += 1;
@@ -387,7 +386,7 @@
     this.delete(key);
   }
 
-  private noteFull(isFull: boolean): void {
+  private setFull(isFull: boolean): void {
     if (isFull) this.progress.notify();
     if (isFull === this.isFull) return;
     this.isFull = isFull;
@@ -399,12 +398,12 @@
 
   private closedError(): ValueStoreClosedError {
     const context = { step: 'value-store.sync', peer: this.options.folder.path, retriable: false };
-    return new ValueStoreClosedError('closed before everything was written', context);
+    return new ValueStoreClosedError('value store closed before all values were written', context);
   }
 
   private fullError(): DiskFullError {
     const context = { step: 'value-store.write', peer: this.options.folder.path, retriable: true };
-    return new DiskFullError('no room for values', context);
+    return new DiskFullError('value store has no space left', context);
   }
 }
 
