--- a/src/directory/directory-leader.ts
+++ b/src/directory/directory-leader.ts
@@ -142,7 +142,7 @@
   /** For a draining backend, resolves once active gateways know of it, or after a time limit. */
   async recordHeartbeat(registration: BackendRegistration): Promise<void> {
     const { id, service, phase, address } = registration;
-    this.heartbeats.note(id);
+    this.heartbeats.record(id);
     if (this.stateMachine.isChange(registration)) {
       await this.propose({ kind: 'register-backend', registration });
       this.options.logger.info('back end registered', { id, service, phase, address });
@@ -207,7 +207,7 @@
     this.recordNode(request.node);
     if (request.node.role === 'gateway') {
       this.loads.report(request.node.name, request.loads);
-      this.confirmations.note(request.node.name, request.known);
+      this.confirmations.record(request.node.name, request.known);
     }
     const deadline = monotonicMs() + WATCH_LONG_POLL_MS;
     while (!request.isUrgent && !this.hasUpdateFor(request) && this.group?.isLeader) {
@@ -295,7 +295,7 @@
   }
 
   private recordNode(node: NodeAnnouncement): void {
-    if (!this.roster.note(node)) return;
+    if (!this.roster.record(node)) return;
     if (node.role === 'journal') this.ledgerBootstrap.recordJournal();
     this.options.logger.info('process announced', { node: node.name, role: node.role });
     this.scheduleClusterUpdate();
@@ -319,9 +319,9 @@
 
   private refreshSilent(): void {
     const { backends } = this.stateMachine;
-    this.heartbeats.keepOnly(backends);
+    this.heartbeats.retainOnly(backends);
     const before = this.silentBackends.ids;
-    const silent = this.heartbeats.silentOf(backends.keys());
+    const silent = this.heartbeats.findSilent(backends.keys());
     if (!this.silentBackends.update(silent)) return;
     this.options.logger.info('silent back ends changed', {
       silent: namesOf(silent),
--- a/src/directory/gateway-confirmations.ts
+++ b/src/directory/gateway-confirmations.ts
@@ -35,7 +35,7 @@
   private waiting = 0;
 
   /** Records the versions that a gateway reports in a watch request. */
-  note(name: string, known: KnownVersions): void {
+  record(name: string, known: KnownVersions): void {
     this.gateways.set(name, { known, requestedAt: monotonicMs() });
     if (this.waiting > 0) this.requestReceived.notify();
   }
--- a/src/directory/heartbeat-table.ts
+++ b/src/directory/heartbeat-table.ts
@@ -13,12 +13,12 @@
 
   constructor(private readonly options: HeartbeatTableOptions) {}
 
-  note(id: string): void {
+  record(id: string): void {
     this.heardAt.set(id, monotonicMs());
   }
 
   /** Silent backends among `ids`; for one without a heartbeat yet, the time counts from the first check. */
-  silentOf(ids: Iterable<string>): Set<string> {
+  findSilent(ids: Iterable<string>): Set<string> {
     const now = monotonicMs();
     const { silentAfterMs } = this.options;
     return new Set([...ids].filter((id) => this.silenceMs(id, now) > silentAfterMs));
@@ -29,7 +29,7 @@
   }
 
   /** Drops the entries of backends that are no longer registered. */
-  keepOnly(ids: { has(id: string): boolean }): void {
+  retainOnly(ids: { has(id: string): boolean }): void {
     for (const id of this.heardAt.keys()) if (!ids.has(id)) this.heardAt.delete(id);
   }
 
--- a/src/directory/node-roster.ts
+++ b/src/directory/node-roster.ts
@@ -16,7 +16,7 @@
   private readonly entries = new Map<string, RosterEntry>();
 
   /** @returns whether the node is new or has changed its identity or address */
-  note(node: NodeAnnouncement): boolean {
+  record(node: NodeAnnouncement): boolean {
     const known = this.entries.get(node.name);
     this.entries.set(node.name, { node, announcedAt: monotonicMs() });
     return known?.node.address !== node.address || known.node.memberId !== node.memberId;
