--- a/src/clustering/voter-set-manager.test.ts
+++ b/src/clustering/voter-set-manager.test.ts
@@ -64,7 +64,7 @@
   ]);
 });
 
-it('admits a member that lost its disk at once, although its old identity was seen recently', async () => {
+it('immediately admits a member that lost its disk, although its old identity was seen recently', async () => {
   const cluster = await startCluster();
   const leader = await cluster.waitLeader();
   const { announce, steps } = startManager(leader);
