--- a/src/consensus/applier.ts
+++ b/src/consensus/applier.ts
@@ -29,7 +29,7 @@
 }
 
 /** What had been applied since the snapshot before. */
-interface SnapshotDue {
+interface SnapshotCounters {
   snapshotIndex: number;
   bytesSinceSnapshot: number;
 }
@@ -90,7 +90,7 @@
 
   private async installNext(snapshot: StoredSnapshot, members: GroupConfiguration): Promise<void> {
     if (snapshot.index <= this.appliedIndex) return;
-    await this.obtainExternal(snapshot, members);
+    await this.fetchExternal(snapshot, members);
     await this.group.log.storeSnapshot(snapshot);
     if (snapshot.index <= this.appliedIndex) return;
     // From here to the new applied index nothing may come between: the log has a gap meanwhile.
@@ -104,7 +104,7 @@
     await written;
   }
 
-  private async obtainExternal(
+  private async fetchExternal(
     snapshot: StoredSnapshot,
     members: GroupConfiguration,
   ): Promise<void> {
@@ -182,11 +182,11 @@
     const isDue =
       this.appliedIndex - this.snapshotIndex >= snapshotEveryEntries ||
       this.bytesSinceSnapshot >= snapshotEveryBytes;
-    if (isDue) this.makeSnapshot(this.trailStart());
+    if (isDue) this.makeSnapshot(this.compactionIndex());
   }
 
   /** The last entry that need not be kept for members that lag a little. */
-  private trailStart(): number {
+  private compactionIndex(): number {
     const { trailingEntries, trailingBytes } = this.environment.options;
     const { log } = this.group;
     const lowest = Math.max(log.compactedTo.index, this.appliedIndex - trailingEntries);
@@ -221,11 +221,11 @@
 
   private onSnapshotSaved(marks: StoredSnapshotMarks): void {
     this.environment.onSnapshotStored(this.group, marks);
-    this.allowNextSnapshot();
+    this.finishSnapshot();
   }
 
   /** What was applied meanwhile may be enough for the next one, and nothing more may be coming. */
-  private allowNextSnapshot(): void {
+  private finishSnapshot(): void {
     this.isSnapshotting = false;
     if (!this.isStopped) this.makeSnapshotIfDue();
   }
@@ -237,7 +237,7 @@
   }
 
   /** Without room the log is kept as it is, and the snapshot stays due. */
-  private onSnapshotFailed(error: unknown, before: SnapshotDue): void {
+  private onSnapshotFailed(error: unknown, previous: SnapshotCounters): void {
     // Stores are closed after their group: the log holds all that the snapshot would have held.
     if (this.isStopped) return;
     if (!(error instanceof StorageFullError)) {
@@ -245,9 +245,9 @@
       return;
     }
     this.environment.onSnapshotSkipped(this.group, error);
-    this.snapshotIndex = before.snapshotIndex;
-    this.bytesSinceSnapshot += before.bytesSinceSnapshot;
-    setTimeout(() => this.allowNextSnapshot(), SNAPSHOT_RETRY_MS).unref();
+    this.snapshotIndex = previous.snapshotIndex;
+    this.bytesSinceSnapshot += previous.bytesSinceSnapshot;
+    setTimeout(() => this.finishSnapshot(), SNAPSHOT_RETRY_MS).unref();
   }
 }
 
--- a/src/consensus/commit-window.ts
+++ b/src/consensus/commit-window.ts
@@ -8,15 +8,15 @@
  * Some large commands, or hundreds of small ones: fewer would leave links and disks idle between two
  * answers where the time goes into a slow sync and not into bytes.
  */
-const SMALLEST_BYTES = 128 * 1024;
-const FIRST_BYTES = 512 * 1024;
-const LARGEST_BYTES = 8 * 1024 * 1024;
+const MIN_WINDOW_BYTES = 128 * 1024;
+const INITIAL_WINDOW_BYTES = 512 * 1024;
+const MAX_WINDOW_BYTES = 8 * 1024 * 1024;
 /** What is left of the window when a commit took longer than the target. */
-const SHRINK_TO = 0.7;
+const SHRINK_FACTOR = 0.7;
 
 export class CommitWindow {
-  private limitBytes = FIRST_BYTES;
-  private underWayBytes = 0;
+  private limitBytes = INITIAL_WINDOW_BYTES;
+  private inFlightBytes = 0;
   private shrunkAt = Number.NEGATIVE_INFINITY;
 
   /** @param targetMs how long a command may take from the log to its commit, in milliseconds */
@@ -28,26 +28,26 @@
 
   /** Whether a command may go to the log now; one alone always may. */
   hasRoom(bytes: number): boolean {
-    return this.underWayBytes === 0 || this.underWayBytes + bytes <= this.limitBytes;
+    return this.inFlightBytes === 0 || this.inFlightBytes + bytes <= this.limitBytes;
   }
 
   take(bytes: number): void {
-    this.underWayBytes += bytes;
+    this.inFlightBytes += bytes;
   }
 
   /** A command was committed, `tookMs` after it went to the log. */
   noteCommitted(bytes: number, tookMs: number): void {
-    const wasUsed = this.underWayBytes > this.limitBytes / 2;
-    this.underWayBytes -= bytes;
+    const wasUsed = this.inFlightBytes > this.limitBytes / 2;
+    this.inFlightBytes -= bytes;
     if (tookMs > this.targetMs) this.shrink();
     else if (wasUsed && tookMs < this.targetMs / 2) {
-      this.limitBytes = Math.min(LARGEST_BYTES, this.limitBytes + bytes);
+      this.limitBytes = Math.min(MAX_WINDOW_BYTES, this.limitBytes + bytes);
     }
   }
 
   /** Nothing is under way any more: leadership has ended. */
   clear(): void {
-    this.underWayBytes = 0;
+    this.inFlightBytes = 0;
   }
 
   /** Once for all commands that were under way together. */
@@ -55,6 +55,6 @@
     const now = monotonicMs();
     if (now - this.shrunkAt < this.targetMs) return;
     this.shrunkAt = now;
-    this.limitBytes = Math.max(SMALLEST_BYTES, this.limitBytes * SHRINK_TO);
+    this.limitBytes = Math.max(MIN_WINDOW_BYTES, this.limitBytes * SHRINK_FACTOR);
   }
 }
--- a/src/consensus/consensus.test.ts
+++ b/src/consensus/consensus.test.ts
@@ -137,16 +137,16 @@
     const victim = cluster.members.find(({ member }) => member.id !== leader.member.id)!;
     const old = await cluster.crash(victim.member.id);
     await cluster.loseDisk(old);
-    const renewed = { ...old, id: `${old.name}-second`, role: 'learner' as const };
-    const back = await cluster.start(renewed, false);
-    await waitUntil('voter again', () => cluster.join(renewed));
+    const replacement = { ...old, id: `${old.name}-second`, role: 'learner' as const };
+    const back = await cluster.start(replacement, false);
+    await waitUntil('voter again', () => cluster.join(replacement));
     expect(back.machine.items).toEqual(['a', 'b', 'c']);
     const voters = cluster.leader!.group.configuration.members;
     expect(voters.map(({ id }) => id)).not.toContain(old.id);
     expect(voters).toHaveLength(3);
     // The second failure right after the repair: the repaired member and one other carry on.
     const third = cluster.members.find(
-      ({ member }) => member.id !== leader.member.id && member.id !== renewed.id,
+      ({ member }) => member.id !== leader.member.id && member.id !== replacement.id,
     )!;
     await cluster.crash(third.member.id);
     await append(cluster, ['d']);
@@ -160,10 +160,10 @@
     const victim = cluster.members.find(({ member }) => member.id !== leader.member.id)!;
     const old = await cluster.crash(victim.member.id);
     await cluster.loseDisk(old);
-    const renewed = { ...old, id: `${old.name}-second`, role: 'learner' as const };
-    const back = await cluster.start(renewed, false);
+    const replacement = { ...old, id: `${old.name}-second`, role: 'learner' as const };
+    const back = await cluster.start(replacement, false);
     const other = cluster.members.find(
-      ({ member }) => member.id !== leader.member.id && member.id !== renewed.id,
+      ({ member }) => member.id !== leader.member.id && member.id !== replacement.id,
     )!;
     await cluster.crash(other.member.id);
     // One member with its log and one without are no majority of three.
@@ -214,8 +214,8 @@
     const leader = await cluster.waitLeader();
     await append(cluster, ['a']);
     const { term } = leader.group;
-    const standstillEndsAt = performance.now() + 300;
-    while (performance.now() < standstillEndsAt);
+    const stallEndsAt = performance.now() + 300;
+    while (performance.now() < stallEndsAt);
     leader.group.tick();
     expect(leader.group.isLeader).toBe(true);
     expect(leader.group.term).toBe(term);
--- a/src/consensus/election-timer.test.ts
+++ b/src/consensus/election-timer.test.ts
@@ -31,7 +31,7 @@
 
   it('can be put off for as long as a leader is heard', () => {
     timer.setIn(50);
-    for (let heard = 0; heard < 20; heard += 1) {
+    for (let round = 0; round < 20; round += 1) {
       vi.advanceTimersByTime(40);
       timer.setIn(50);
     }
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -21,18 +21,18 @@
   const startTerm = group.term;
   if (!isTransfer) {
     const round = { term: startTerm + 1, isPreVote: true, isTransfer };
-    const wouldWin = await askForVotes(group, environment, round);
+    const wouldWin = await requestVotes(group, environment, round);
     if (!wouldWin || group.term !== startTerm || group.isLeader) return;
   }
   const term = group.term + 1;
   await group.becomeCandidate();
   if (group.term !== term || group.state !== 'candidate') return;
   const round = { term, isPreVote: false, isTransfer };
-  const won = await askForVotes(group, environment, round);
+  const won = await requestVotes(group, environment, round);
   if (won && group.term === term && group.state === 'candidate') group.becomeLeader();
 }
 
-function askForVotes(
+function requestVotes(
   group: ReplicatedGroup,
   environment: GroupEnvironment,
   round: VoteRound,
@@ -43,12 +43,12 @@
   const base = { group: group.name, from: group.ownId, lastIndex, lastTerm, ...round };
   return new Promise<boolean>((resolve) => {
     let granted = 1;
-    let outstanding = others.length;
-    const check = (): void => {
+    let pending = others.length;
+    const resolveIfDecided = (): void => {
       if (granted >= needed) resolve(true);
-      else if (granted + outstanding < needed) resolve(false);
+      else if (granted + pending < needed) resolve(false);
     };
-    const ask = async (voter: (typeof others)[number]): Promise<void> => {
+    const requestVote = async (voter: (typeof others)[number]): Promise<void> => {
       try {
         const request = { ...base, to: voter.id };
         const options = { timeoutMs: VOTE_TIMEOUT_MS };
@@ -58,10 +58,10 @@
       } catch {
         // An unreachable voter grants nothing.
       }
-      outstanding -= 1;
-      check();
+      pending -= 1;
+      resolveIfDecided();
     };
-    check();
-    for (const voter of others) void ask(voter);
+    resolveIfDecided();
+    for (const voter of others) void requestVote(voter);
   });
 }
--- a/src/consensus/failing-members.test.ts
+++ b/src/consensus/failing-members.test.ts
@@ -14,15 +14,15 @@
 const LOST_AFTER_MS = 120;
 const LIMITS = { timeoutMs: 1_000, tryTimeoutMs: 40 };
 /** Two while all were silent, and one every 10 to 50 ms since. */
-const MOST_QUESTIONS = 45;
+const MAX_REQUESTS = 45;
 
 it('members that all fail are asked with pauses', async () => {
-  let questions = 0;
+  let requests = 0;
   const startedAt = performance.now();
   const peers: PeerCaller = {
     isConnected: () => false,
     async call<_Request, Response>(): Promise<Response> {
-      questions += 1;
+      requests += 1;
       const leftMs = startedAt + LOST_AFTER_MS - performance.now();
       if (leftMs > 0) await sleep(leftMs);
       throw new LinkError('link is down', { step: ASK.name, retriable: true });
@@ -31,5 +31,5 @@
   const client = new GroupClient({ peers, addresses: ['a', 'b', 'c', 'd'] });
   const read = () => ({ leaderAddress: undefined, refusal: 'not the leader' });
   await expect(client.callWithRedirect('group', ASK, {}, read, LIMITS)).rejects.toThrow();
-  expect(questions).toBeLessThanOrEqual(MOST_QUESTIONS);
+  expect(requests).toBeLessThanOrEqual(MAX_REQUESTS);
 });
--- a/src/consensus/follower-request-handler.ts
+++ b/src/consensus/follower-request-handler.ts
@@ -19,7 +19,7 @@
  * A follower holds more than its leader would take: entries before its own latest snapshot, and all
  * those up to the first of a new leader, without which nothing commits.
  */
-const FOLLOWER_HELD_FACTOR = 3;
+const FOLLOWER_MEMORY_FACTOR = 3;
 
 interface IncomingSnapshot {
   index: number;
@@ -31,8 +31,8 @@
 
 export class FollowerRequestHandler {
   /** Whether any leader was heard since this process has been a member. */
-  hasHeardLeader = false;
-  private leaderHeardAt = Number.NEGATIVE_INFINITY;
+  hasSeenLeader = false;
+  private leaderContactAt = Number.NEGATIVE_INFINITY;
   /** Up to here the log is known to match the log of the leader of this term. */
   private matchedIndex = 0;
   private matchedTerm = 0;
@@ -45,15 +45,16 @@
 
   async vote(request: VoteRequest): Promise<VoteResponse> {
     const { group } = this;
-    if (!request.isTransfer && this.hearsLeader()) return { term: group.term, granted: false };
+    if (!request.isTransfer && this.hasRecentLeaderContact())
+      return { term: group.term, granted: false };
     if (request.isPreVote) {
-      const granted = request.term > group.term && this.isCurrent(request);
+      const granted = request.term > group.term && this.isLogUpToDate(request);
       return { term: group.term, granted };
     }
     if (request.term > group.term) group.becomeFollower(request.term, undefined);
     const { votedFor } = group.log.hardState;
     const mayVote = votedFor === undefined || votedFor === request.from;
-    const granted = request.term === group.term && mayVote && this.isCurrent(request);
+    const granted = request.term === group.term && mayVote && this.isLogUpToDate(request);
     const { term } = group;
     if (granted) {
       group.resetElectionDeadline();
@@ -65,25 +66,25 @@
 
   async append(request: AppendRequest): Promise<AppendResponse> {
     const { group } = this;
-    if (request.term < group.term) return this.refuseAppend(0);
+    if (request.term < group.term) return this.rejectAppend(0);
     this.followLeader(request.term, request.from);
     const entries = await group.applier.attachTo(request.entries);
     // Another leader may have been followed meanwhile.
-    if (request.term < group.term) return this.refuseAppend(0);
+    if (request.term < group.term) return this.rejectAppend(0);
     const { log } = group;
     const compacted = log.compactedTo.index;
     const knownTerm = log.termAt(request.previousIndex);
     if (request.previousIndex > compacted && knownTerm !== request.previousTerm) {
-      return this.refuseAppend(this.lastPlausibleMatch(request));
+      return this.rejectAppend(this.lastPlausibleMatch(request));
     }
-    const fresh = entries.filter(
+    const newEntries = entries.filter(
       (entry) => entry.index > compacted && log.termAt(entry.index) !== entry.term,
     );
     const { term } = group;
     const matched = request.previousIndex + request.entries.length;
-    if (fresh.length > 0) {
-      const refusal = await this.appendEntries(fresh);
-      if (refusal) return refusal;
+    if (newEntries.length > 0) {
+      const rejection = await this.appendEntries(newEntries);
+      if (rejection) return rejection;
     }
     // A leader repeats what was not answered in time; those entries are held, but maybe not synced.
     await log.waitEntriesDurable();
@@ -114,10 +115,14 @@
     const { group } = this;
     if (request.term < group.term) return { term: group.term, accepted: false };
     this.followLeader(request.term, request.from);
-    const whole = this.collect(request);
-    if (whole === 'refused') return { term: group.term, accepted: false };
-    if (whole && request.mark.index > group.applier.appliedIndex) {
-      const snapshot = { ...request.mark, configuration: request.configuration, state: whole };
+    const completeState = this.addChunk(request);
+    if (completeState === 'refused') return { term: group.term, accepted: false };
+    if (completeState && request.mark.index > group.applier.appliedIndex) {
+      const snapshot = {
+        ...request.mark,
+        configuration: request.configuration,
+        state: completeState,
+      };
       // A start that finds a snapshot and an empty log takes the log for lost.
       if (group.log.lastIndex === 0) await group.waitTermDurable();
       await group.applier.install(snapshot, decodeConfiguration(request.latestConfiguration));
@@ -135,16 +140,16 @@
 
   /** What was heard of the leader no longer keeps this member from voting for another. */
   forgetLeader(): void {
-    this.leaderHeardAt = Number.NEGATIVE_INFINITY;
+    this.leaderContactAt = Number.NEGATIVE_INFINITY;
   }
 
   /** Whether a leader was heard so lately that an election would only disturb it. */
-  private hearsLeader(): boolean {
+  private hasRecentLeaderContact(): boolean {
     if (this.group.isLeader) return true;
-    return monotonicMs() - this.leaderHeardAt < this.environment.options.electionTimeoutMs;
+    return monotonicMs() - this.leaderContactAt < this.environment.options.electionTimeoutMs;
   }
 
-  private isCurrent(request: VoteRequest): boolean {
+  private isLogUpToDate(request: VoteRequest): boolean {
     const { lastTerm, lastIndex } = this.group.log;
     if (request.lastTerm !== lastTerm) return request.lastTerm > lastTerm;
     return request.lastIndex >= lastIndex;
@@ -155,33 +160,33 @@
     if (term > group.term || group.state !== 'follower' || group.leaderId !== leaderId) {
       group.becomeFollower(term, leaderId);
     }
-    this.leaderHeardAt = monotonicMs();
-    this.hasHeardLeader = true;
+    this.leaderContactAt = monotonicMs();
+    this.hasSeenLeader = true;
     group.resetElectionDeadline();
   }
 
-  private async appendEntries(fresh: LogEntry[]): Promise<AppendResponse | undefined> {
+  private async appendEntries(newEntries: LogEntry[]): Promise<AppendResponse | undefined> {
     const { group } = this;
-    const first = fresh[0]!;
+    const first = newEntries[0]!;
     if (first.index <= group.commitIndex) {
       this.environment.onFatal(new Error(`${group.name}: leader rewrites committed entries`));
-      return this.refuseAppend(0);
+      return this.rejectAppend(0);
     }
-    if (group.log.heldBytes >= FOLLOWER_HELD_FACTOR * this.environment.options.maxHeldBytes) {
-      return this.refuseAsFull();
+    if (group.log.heldBytes >= FOLLOWER_MEMORY_FACTOR * this.environment.options.maxHeldBytes) {
+      return this.rejectAsFull();
     }
     try {
-      const written = group.log.append(fresh);
-      group.applier.noteLogged(fresh);
+      const written = group.log.append(newEntries);
+      group.applier.noteLogged(newEntries);
       await written;
     } catch (error) {
       if (!(error instanceof StorageFullError)) throw error;
-      return this.refuseAsFull();
+      return this.rejectAsFull();
     }
     return undefined;
   }
 
-  private refuseAsFull(): AppendResponse {
+  private rejectAsFull(): AppendResponse {
     return { term: this.group.term, success: false, matchIndex: 0, isFull: true };
   }
 
@@ -191,7 +196,7 @@
     this.group.advanceCommit(Math.min(commitIndex, this.matchedIndex));
   }
 
-  private refuseAppend(matchIndex: number): AppendResponse {
+  private rejectAppend(matchIndex: number): AppendResponse {
     return { term: this.group.term, success: false, matchIndex, isFull: false };
   }
 
@@ -204,7 +209,7 @@
     return Math.max(index, Math.min(log.compactedTo.index, request.previousIndex - 1));
   }
 
-  private collect(request: SnapshotChunk): Uint8Array | 'refused' | undefined {
+  private addChunk(request: SnapshotChunk): Uint8Array | 'refused' | undefined {
     if (request.offset === 0) {
       const { index } = request.mark;
       const state = Buffer.allocUnsafe(request.stateBytes);
--- a/src/consensus/group-client.test.ts
+++ b/src/consensus/group-client.test.ts
@@ -8,7 +8,7 @@
 
 const GROUP = 'test-group';
 const ASK = defineMethod<object, TryResult<string>>('test.ask');
-const LEADER_LATE_MS = 520;
+const LEADER_DELAY_MS = 520;
 const LIMITS = { timeoutMs: 1_500, tryTimeoutMs: 250 };
 
 /** Answers as each member is told to, and counts who was asked. */
@@ -28,20 +28,20 @@
   }
 }
 
-function pointsTo(leaderAddress: string | undefined): () => Promise<TryResult<string>> {
+function redirectsTo(leaderAddress: string | undefined): () => Promise<TryResult<string>> {
   return () => Promise.resolve({ leaderAddress, refusal: 'not the leader' });
 }
 
 function ask(peers: PeerCaller, addresses: string[]): Promise<string> {
   const client = new GroupClient({ peers, addresses });
-  return client.callWithRedirect(GROUP, ASK, {}, (answer) => answer, LIMITS);
+  return client.callWithRedirect(GROUP, ASK, {}, (response) => response, LIMITS);
 }
 
 describe('a client of a group', () => {
   it('takes the answer of a late leader, which it asks once, and asks others beside it', async () => {
     const peers = new ScriptedPeers({
-      leader: () => sleep(LEADER_LATE_MS).then(() => ({ response: 'late' })),
-      follower: pointsTo('leader'),
+      leader: () => sleep(LEADER_DELAY_MS).then(() => ({ response: 'late' })),
+      follower: redirectsTo('leader'),
     });
     expect(await ask(peers, ['leader', 'follower'])).toBe('late');
     expect(peers.asked.get('leader')).toBe(1);
@@ -52,18 +52,18 @@
     let hint = 'old';
     const peers = new ScriptedPeers({
       old: () => new Promise(() => undefined),
-      follower: () => pointsTo(hint)(),
+      follower: () => redirectsTo(hint)(),
       next: () => Promise.resolve({ response: 'next' }),
     });
-    setTimeout(() => (hint = 'next'), LEADER_LATE_MS);
+    setTimeout(() => (hint = 'next'), LEADER_DELAY_MS);
     const startedAt = performance.now();
     expect(await ask(peers, ['old', 'follower'])).toBe('next');
     // Members are asked every 50 ms at least, though each points at the one that owes an answer.
-    expect(performance.now() - startedAt).toBeLessThan(LEADER_LATE_MS + 100);
+    expect(performance.now() - startedAt).toBeLessThan(LEADER_DELAY_MS + 100);
   });
 
   it('pauses between members that point at each other', async () => {
-    const peers = new ScriptedPeers({ a: pointsTo('b'), b: pointsTo('a') });
+    const peers = new ScriptedPeers({ a: redirectsTo('b'), b: redirectsTo('a') });
     await expect(ask(peers, ['a', 'b'])).rejects.toThrow('not the leader');
     const asked = [...peers.asked.values()].reduce((sum, count) => sum + count, 0);
     // Two hints a pause, and pauses of 25 ms at least but for the first ones.
@@ -75,8 +75,8 @@
     const client = new GroupClient({ peers, addresses: [] });
     setTimeout(() => client.setAddresses(['leader']), 50);
     const startedAt = performance.now();
-    const answer = client.callWithRedirect(GROUP, ASK, {}, (response) => response, LIMITS);
-    expect(await answer).toBe('here');
+    const response = client.callWithRedirect(GROUP, ASK, {}, (response) => response, LIMITS);
+    expect(await response).toBe('here');
     expect(performance.now() - startedAt).toBeLessThan(LIMITS.tryTimeoutMs - 50);
   });
 });
--- a/src/consensus/group-client.ts
+++ b/src/consensus/group-client.ts
@@ -48,13 +48,13 @@
 }
 
 const DEFAULT_TRY_TIMEOUT_MS = 700;
-const FIRST_PAUSE_MS = 10;
+const INITIAL_PAUSE_MS = 10;
 export const DEFAULT_MAXIMUM_PAUSE_MS = 50;
 
 export class GroupClient {
   private readonly leaders = new Map<string, string>();
   /** Leaders that have answered, by group, also where they may lead no more. */
-  private readonly heard = new Map<string, { address: string; atMs: number }>();
+  private readonly lastResponders = new Map<string, { address: string; atMs: number }>();
   private readonly tryTimeoutMs: number;
   private addresses: string[];
   private nextAddress = 0;
@@ -73,8 +73,8 @@
 
   /** Who answered last as the leader of a group, whether or not it still leads. */
   lastHeardLeader(group: string): HeardLeader | undefined {
-    const heard = this.heard.get(group);
-    return heard && { address: heard.address, ageMs: monotonicMs() - heard.atMs };
+    const responder = this.lastResponders.get(group);
+    return responder && { address: responder.address, ageMs: monotonicMs() - responder.atMs };
   }
 
   /** @throws GroupUnavailableError when no leader answered in time */
@@ -123,7 +123,7 @@
     const leader = this.leaders.get(group);
     const others = this.addresses.filter((address) => address !== leader);
     const address = this.leastRecentlyCalled(others.length > 0 ? others : this.addresses);
-    if (address === undefined) throw noMemberError(method.name, group);
+    if (address === undefined) throw noAddressError(method.name, group);
     this.calledAt.set(address, monotonicMs());
     return this.options.peers.call(address, method, request, limits);
   }
@@ -136,9 +136,9 @@
   ): Promise<Answer> {
     const request: GroupRequest = { group, body: encodeValue(body) };
     return this.tryMembers<Answer>(group, method.name, options, async (address, limits) => {
-      const answer = await this.options.peers.call(address, method, request, limits);
-      if (answer.body) return { response: decodeValue<Answer>(answer.body) };
-      return rejectionResult(answer);
+      const response = await this.options.peers.call(address, method, request, limits);
+      if (response.body) return { response: decodeValue<Answer>(response.body) };
+      return rejectionResult(response);
     });
   }
 
@@ -151,51 +151,51 @@
     const deadline = monotonicMs() + options.timeoutMs;
     const tryTimeoutMs = options.tryTimeoutMs ?? this.tryTimeoutMs;
     const backoff = new Backoff({
-      initialMs: FIRST_PAUSE_MS,
+      initialMs: INITIAL_PAUSE_MS,
       maximumMs: options.maximumPauseMs ?? DEFAULT_MAXIMUM_PAUSE_MS,
     });
-    const tries = new PendingAttempts(attempt, { deadline, silenceMs: tryTimeoutMs });
-    const hints = new LeaderHints(tries);
-    const problem = new LeaderSearchFailure();
-    let address = this.leaders.get(group) ?? this.anyAddress(tries);
+    const attempts = new PendingAttempts(attempt, { deadline, silenceMs: tryTimeoutMs });
+    const hints = new LeaderHints(attempts);
+    const failure = new LeaderSearchFailure();
+    let address = this.leaders.get(group) ?? this.nextAvailable(attempts);
     let waitMs = tryTimeoutMs;
     while (monotonicMs() < deadline) {
-      if (address !== undefined) tries.begin(address);
+      if (address !== undefined) attempts.begin(address);
       else waitMs = backoff.nextDelayMs();
-      const answer = await tries.next(Math.min(waitMs, deadline - monotonicMs()));
-      if (answer && 'response' in answer) {
-        this.noteLeader(group, answer.address);
-        return answer.response;
+      const outcome = await attempts.next(Math.min(waitMs, deadline - monotonicMs()));
+      if (outcome && 'response' in outcome) {
+        this.noteLeader(group, outcome.address);
+        return outcome.response;
       }
-      if (answer) problem.note(answer);
-      const hint = answer && hints.follow(answer);
+      if (outcome) failure.note(outcome);
+      const hint = outcome && hints.follow(outcome);
       if (hint !== undefined) {
         address = hint;
         waitMs = tryTimeoutMs;
         continue;
       }
-      const refusing = refusingMember(answer);
-      if (refusing === undefined) this.leaders.delete(group);
-      else this.noteLeader(group, refusing);
+      const rejectingLeader = rejectingMember(outcome);
+      if (rejectingLeader === undefined) this.leaders.delete(group);
+      else this.noteLeader(group, rejectingLeader);
       hints.notePause();
       waitMs = Math.min(backoff.nextDelayMs(), Math.max(0, deadline - monotonicMs()));
       // While some are overdue, the pause is the wait for them.
-      if (answer) await tries.pause(waitMs, (next) => hints.endsPause(next));
+      if (outcome) await attempts.pause(waitMs, (next) => hints.endsPause(next));
       // Others have nothing to add to what the leader says.
-      address = refusing ?? this.anyAddress(tries);
-      if (refusing !== undefined) waitMs = tryTimeoutMs;
+      address = rejectingLeader ?? this.nextAvailable(attempts);
+      if (rejectingLeader !== undefined) waitMs = tryTimeoutMs;
     }
-    throw problem.toError(step, group);
+    throw failure.toError(step, group);
   }
 
   private noteLeader(group: string, address: string): void {
     this.leaders.set(group, address);
-    this.heard.set(group, { address, atMs: monotonicMs() });
+    this.lastResponders.set(group, { address, atMs: monotonicMs() });
   }
 
   /** The next member that may be asked, a connected one if there is any. */
-  private anyAddress(tries: PendingAttempts<unknown>): string | undefined {
-    return this.nextOf(this.addresses.filter((address) => !tries.has(address)));
+  private nextAvailable(attempts: PendingAttempts<unknown>): string | undefined {
+    return this.nextInRotation(this.addresses.filter((address) => !attempts.has(address)));
   }
 
   /** Nobody is called twice before all have been: one that is silent would hold the others up again and again. */
@@ -207,18 +207,18 @@
   }
 
   /** One of some members in turn, a connected one if there is any. */
-  private nextOf(addresses: readonly string[]): string | undefined {
+  private nextInRotation(addresses: readonly string[]): string | undefined {
     if (addresses.length === 0) return undefined;
     const first = this.nextAddress++ % addresses.length;
-    const inTurn = [...addresses.slice(first), ...addresses.slice(0, first)];
-    return inTurn.find((address) => this.options.peers.isConnected(address)) ?? inTurn[0];
+    const rotated = [...addresses.slice(first), ...addresses.slice(0, first)];
+    return rotated.find((address) => this.options.peers.isConnected(address)) ?? rotated[0];
   }
 }
 
-function refusingMember(answer: AttemptOutcome<unknown> | undefined): string | undefined {
-  return answer && 'refused' in answer ? answer.address : undefined;
+function rejectingMember(outcome: AttemptOutcome<unknown> | undefined): string | undefined {
+  return outcome && 'refused' in outcome ? outcome.address : undefined;
 }
 
-function noMemberError(step: string, group: string): GroupUnavailableError {
+function noAddressError(step: string, group: string): GroupUnavailableError {
   return new GroupUnavailableError('no member is known', { step, peer: group, retriable: true });
 }
--- a/src/consensus/group-host.ts
+++ b/src/consensus/group-host.ts
@@ -48,7 +48,7 @@
 export class GroupHost {
   private readonly groups = new Map<string, ReplicatedGroup>();
   private readonly environment: GroupEnvironment;
-  private readonly changer = new MembershipChanger();
+  private readonly membershipChanger = new MembershipChanger();
   private heartbeatsRequested = false;
   private timer: NodeJS.Timeout | undefined;
   private readonly urgentPeers: PeerCaller;
@@ -119,33 +119,40 @@
 
   /** Registers the handlers of the messages between members. */
   registerHandlers(router: MethodRouter): void {
-    router.handle(VOTE, (request) => this.target(request).requestHandler.vote(request));
+    router.handle(VOTE, (request) => this.targetGroup(request).requestHandler.vote(request));
     router.handle(APPEND, async (request) => {
-      const group = this.target(request);
+      const group = this.targetGroup(request);
       const receivedAt = monotonicMs();
       const response = await group.requestHandler.append(request);
       group.times.append.record(monotonicMs() - receivedAt);
       return response;
     });
-    router.handle(SNAPSHOT, (request) => this.target(request).requestHandler.snapshot(request));
-    router.handle(TRANSFER, (request) => this.target(request).requestHandler.transfer(request));
+    router.handle(SNAPSHOT, (request) =>
+      this.targetGroup(request).requestHandler.snapshot(request),
+    );
+    router.handle(TRANSFER, (request) =>
+      this.targetGroup(request).requestHandler.transfer(request),
+    );
     router.handle(HEARTBEATS, ({ heartbeats }) => {
       const own = heartbeats.filter((heartbeat) => heartbeat.to === this.host.ownId);
-      const answers = own.map((heartbeat) =>
+      const responses = own.map((heartbeat) =>
         this.groups.get(heartbeat.group)?.requestHandler.heartbeat(heartbeat),
       );
-      return Promise.all(answers.filter((answer) => answer !== undefined));
+      return Promise.all(responses.filter((response) => response !== undefined));
     });
     router.handle(JOIN, async (request) => {
       const group = this.groups.get(request.group);
       if (!group?.isLeader) {
         return { leads: false, leaderAddress: group?.leaderAddress, accepted: false };
       }
-      return { leads: true, accepted: await this.changer.advanceJoin(group, request.member) };
+      return {
+        leads: true,
+        accepted: await this.membershipChanger.advanceJoin(group, request.member),
+      };
     });
   }
 
-  private target(message: { group: string; to: string }): ReplicatedGroup {
+  private targetGroup(message: { group: string; to: string }): ReplicatedGroup {
     const group = this.groups.get(message.group);
     if (!group || message.to !== this.host.ownId) {
       throw new WrongMemberError('message is for another member', {
@@ -212,10 +219,11 @@
         else batches.set(member.id, { address: member.address, heartbeats: [heartbeat] });
       }
     }
-    for (const { address, heartbeats } of batches.values()) void this.exchange(address, heartbeats);
+    for (const { address, heartbeats } of batches.values())
+      void this.exchangeHeartbeats(address, heartbeats);
   }
 
-  private async exchange(address: string, heartbeats: Heartbeat[]): Promise<void> {
+  private async exchangeHeartbeats(address: string, heartbeats: Heartbeat[]): Promise<void> {
     const sentAt = monotonicMs();
     try {
       const options = { timeoutMs: HEARTBEAT_TIMEOUT_MS };
--- a/src/consensus/group-service.ts
+++ b/src/consensus/group-service.ts
@@ -18,17 +18,17 @@
   hooks: GroupServiceHooks,
 ): void {
   router.handle(EXECUTE, ({ group: name, body }) =>
-    answerAsLeader(host, name, (group) => group.propose(hooks.prepareCommand(group, body))),
+    executeAsLeader(host, name, (group) => group.propose(hooks.prepareCommand(group, body))),
   );
   router.handle(QUERY, ({ group: name, body }) =>
-    answerAsLeader(host, name, async (group) => {
+    executeAsLeader(host, name, async (group) => {
       await group.confirmLeadership();
       return hooks.answerQuery(group, body);
     }),
   );
 }
 
-async function answerAsLeader(
+async function executeAsLeader(
   host: GroupHost,
   name: string,
   work: (group: ReplicatedGroup) => Promise<unknown>,
--- a/src/consensus/leader-hints.ts
+++ b/src/consensus/leader-hints.ts
@@ -5,17 +5,17 @@
   /** Hints followed since the last pause: two members may point at each other. */
   private readonly followed = new Set<string>();
   /** The member that owes an answer and that another one has pointed at. */
-  private awaited: string | undefined;
+  private awaitedLeader: string | undefined;
 
-  constructor(private readonly tries: PendingAttempts<unknown>) {}
+  constructor(private readonly attempts: PendingAttempts<unknown>) {}
 
   /** The member to ask at once on account of an answer, if there is one. */
-  follow(answer: AttemptOutcome<unknown>): string | undefined {
-    const hint = this.hintOf(answer);
+  follow(outcome: AttemptOutcome<unknown>): string | undefined {
+    const hint = this.hintOf(outcome);
     if (hint === undefined) return undefined;
     // A hint at a member that owes an answer is old: who leads next is known soon, so it is asked for.
-    if (this.tries.has(hint)) {
-      this.awaited = hint;
+    if (this.attempts.has(hint)) {
+      this.awaitedLeader = hint;
       return undefined;
     }
     if (this.followed.has(hint)) return undefined;
@@ -24,8 +24,8 @@
   }
 
   /** Whether an answer that comes during a pause is worth reading at once. */
-  endsPause(answer: AttemptOutcome<unknown>): boolean {
-    return 'response' in answer || 'refused' in answer || this.isAwaitedLost(answer);
+  endsPause(outcome: AttemptOutcome<unknown>): boolean {
+    return 'response' in outcome || 'refused' in outcome || this.isAwaitedLost(outcome);
   }
 
   notePause(): void {
@@ -33,16 +33,16 @@
   }
 
   /** An awaited leader whose connection was lost is asked again itself: the link is mostly up already. */
-  private hintOf(answer: AttemptOutcome<unknown>): string | undefined {
-    if ('leaderAddress' in answer && answer.leaderAddress !== undefined) {
-      return answer.leaderAddress;
+  private hintOf(outcome: AttemptOutcome<unknown>): string | undefined {
+    if ('leaderAddress' in outcome && outcome.leaderAddress !== undefined) {
+      return outcome.leaderAddress;
     }
-    if (!this.isAwaitedLost(answer)) return undefined;
-    this.awaited = undefined;
-    return answer.address;
+    if (!this.isAwaitedLost(outcome)) return undefined;
+    this.awaitedLeader = undefined;
+    return outcome.address;
   }
 
   private isAwaitedLost({ isLost, address }: AttemptOutcome<unknown>): boolean {
-    return isLost && address === this.awaited;
+    return isLost && address === this.awaitedLeader;
   }
 }
--- a/src/consensus/leader-refusal.test.ts
+++ b/src/consensus/leader-refusal.test.ts
@@ -18,7 +18,7 @@
 const MEMBERS = [LEADER, 'member-2', 'member-3'];
 const LIMITS = { timeoutMs: 1_000, tryTimeoutMs: 250 };
 /** When a leader that is overloaded for a while takes commands again, in milliseconds. */
-const RELIEVED_AFTER_MS = 300;
+const OVERLOAD_MS = 300;
 
 /** Members of which the first leads, and refuses while it is overloaded. */
 class Members implements PeerCaller {
@@ -34,11 +34,11 @@
     this.asked.set(address, (this.asked.get(address) ?? 0) + 1);
     const isLeader = address === this.leader;
     const group = { isLeader, isCurrentLeader: isLeader, leaderAddress: this.leader };
-    const answer = await answerAsLeader(group as ReplicatedGroup, async () => {
+    const response = await answerAsLeader(group as ReplicatedGroup, async () => {
       if (this.isOverloaded) throw new GroupOverloadedError(GROUP);
       return `done by ${address}`;
     });
-    return answer as Response;
+    return response as Response;
   }
 }
 
@@ -66,14 +66,14 @@
 
   it('is over once the leader takes commands again', async () => {
     const members = new Members();
-    setTimeout(() => (members.isOverloaded = false), RELIEVED_AFTER_MS);
+    setTimeout(() => (members.isOverloaded = false), OVERLOAD_MS);
     expect(await ask(members)).toBe(`done by ${LEADER}`);
   });
 
   it('holds no longer than its lead does', async () => {
     const members = new Members();
-    setTimeout(() => (members.leader = 'member-3'), RELIEVED_AFTER_MS / 2);
-    setTimeout(() => (members.isOverloaded = false), RELIEVED_AFTER_MS);
+    setTimeout(() => (members.leader = 'member-3'), OVERLOAD_MS / 2);
+    setTimeout(() => (members.isOverloaded = false), OVERLOAD_MS);
     expect(await ask(members)).toBe('done by member-3');
   });
 });
--- a/src/consensus/leader-search-failure.ts
+++ b/src/consensus/leader-search-failure.ts
@@ -3,33 +3,33 @@
 import type { LeaderRefusal } from './leader-refusal.js';
 import type { AttemptOutcome } from './open-tries.js';
 
-type NoResult = Exclude<AttemptOutcome<unknown>, { response: unknown }>;
+type FailedOutcome = Exclude<AttemptOutcome<unknown>, { response: unknown }>;
 
-interface RefusingLeader {
+interface RejectingLeader {
   address: string;
   refusal: LeaderRefusal;
 }
 
 export class LeaderSearchFailure {
-  private latest = 'no member asked';
+  private latestReason = 'no member asked';
   /** Stands until that member says something else: what members say that don't lead is no reason. */
-  private refusing: RefusingLeader | undefined;
+  private rejectingLeader: RejectingLeader | undefined;
 
-  note(answer: NoResult): void {
-    const { address } = answer;
-    if ('refused' in answer) {
-      this.refusing = { address, refusal: answer.refused };
+  note(outcome: FailedOutcome): void {
+    const { address } = outcome;
+    if ('refused' in outcome) {
+      this.rejectingLeader = { address, refusal: outcome.refused };
       return;
     }
-    if (this.refusing?.address === address) this.refusing = undefined;
-    this.latest = answer.refusal ?? this.latest;
+    if (this.rejectingLeader?.address === address) this.rejectingLeader = undefined;
+    this.latestReason = outcome.refusal ?? this.latestReason;
   }
 
   toError(step: string, group: string): GroupUnavailableError {
     const context = { step, peer: group, retriable: true };
-    if (!this.refusing)
-      return new GroupUnavailableError(`no leader answered: ${this.latest}`, context);
-    const { address, refusal } = this.refusing;
+    if (!this.rejectingLeader)
+      return new GroupUnavailableError(`no leader answered: ${this.latestReason}`, context);
+    const { address, refusal } = this.rejectingLeader;
     return new LeaderRefusedError(address, refusal, context);
   }
 }
--- a/src/consensus/leadership-transfer.ts
+++ b/src/consensus/leadership-transfer.ts
@@ -16,15 +16,15 @@
 ): Promise<boolean> {
   const deadline = monotonicMs() + TRANSFER_WAIT_MS;
   while (group.isLeader && monotonicMs() < deadline) {
-    const target = mostCurrentFollower(group, replicators);
+    const target = mostUpToDateFollower(group, replicators);
     const isCaughtUp = target !== undefined && target.matchIndex >= group.log.lastIndex;
-    if (isCaughtUp && (await askToTakeOver(group, target))) return true;
+    if (isCaughtUp && (await requestElection(group, target))) return true;
     await sleep(TRANSFER_POLL_MS);
   }
   return !group.isLeader;
 }
 
-function mostCurrentFollower(
+function mostUpToDateFollower(
   group: ReplicatedGroup,
   replicators: ReadonlyMap<string, Replicator>,
 ): Replicator | undefined {
@@ -36,7 +36,7 @@
     .at(0);
 }
 
-async function askToTakeOver(group: ReplicatedGroup, { member }: Replicator): Promise<boolean> {
+async function requestElection(group: ReplicatedGroup, { member }: Replicator): Promise<boolean> {
   const request = { group: group.name, to: member.id, from: group.ownId, term: group.term };
   try {
     return await group.call(member, TRANSFER, request, { timeoutMs: TRANSFER_CALL_TIMEOUT_MS });
--- a/src/consensus/learner-relays.test.ts
+++ b/src/consensus/learner-relays.test.ts
@@ -104,10 +104,10 @@
 
   it('is the same whatever the order of members, and never the leader', () => {
     const configuration: GroupConfiguration = { members: [...voters, ...learners] };
-    const turned: GroupConfiguration = { members: [...learners, ...voters].reverse() };
+    const reordered: GroupConfiguration = { members: [...learners, ...voters].reverse() };
     const relays = learners.map(({ id }) => relayOf(configuration, 'b', id)?.id);
     expect(relays).toEqual(['a', 'c', 'a']);
-    expect(learners.map(({ id }) => relayOf(turned, 'b', id)?.id)).toEqual(relays);
+    expect(learners.map(({ id }) => relayOf(reordered, 'b', id)?.id)).toEqual(relays);
   });
 
   it('is nobody for a voter, and where the leader is the only one', () => {
--- a/src/consensus/learner-relays.ts
+++ b/src/consensus/learner-relays.ts
@@ -40,11 +40,11 @@
 ): Member | undefined {
   const byId = (left: Member, right: Member): number => (left.id < right.id ? -1 : 1);
   const learners = configuration.members.filter(({ role }) => role === 'learner').sort(byId);
-  const place = learners.findIndex(({ id }) => id === learnerId);
+  const position = learners.findIndex(({ id }) => id === learnerId);
   const voters = votersOf(configuration)
     .filter(({ id }) => id !== leaderId)
     .sort(byId);
-  return place < 0 ? undefined : voters[place % voters.length];
+  return position < 0 ? undefined : voters[position % voters.length];
 }
 
 export class LearnerRelays {
@@ -67,12 +67,12 @@
     }
     if (this.source?.ownId !== leaderId || this.source.term !== term) this.stop();
     this.source ??= new RelaySource(member, { leaderId, term, onHigherTerm: () => this.stop() });
-    const own = member.configuration.members.filter(
+    const assigned = member.configuration.members.filter(
       ({ id }) => relayOf(member.configuration, leaderId, id)?.id === member.ownId,
     );
-    for (const learner of own) this.begin(learner, this.source);
+    for (const learner of assigned) this.startRelay(learner, this.source);
     for (const id of this.relays.keys()) {
-      if (!own.some((learner) => learner.id === id)) this.end(id);
+      if (!assigned.some((learner) => learner.id === id)) this.stopRelay(id);
     }
   }
 
@@ -82,15 +82,15 @@
   }
 
   stop(): void {
-    for (const id of this.relays.keys()) this.end(id);
+    for (const id of this.relays.keys()) this.stopRelay(id);
     this.source = undefined;
   }
 
-  private begin(learner: Member, source: RelaySource): void {
+  private startRelay(learner: Member, source: RelaySource): void {
     if (!this.relays.has(learner.id)) this.relays.set(learner.id, new Replicator(source, learner));
   }
 
-  private end(id: string): void {
+  private stopRelay(id: string): void {
     this.relays.get(id)?.stop();
     this.relays.delete(id);
   }
@@ -111,14 +111,14 @@
 
   constructor(
     private readonly member: RelayingMember,
-    private readonly of: RelayTerm,
+    private readonly leadership: RelayTerm,
   ) {
     this.log = new CommittedLog(member, () => this.isCurrent);
   }
 
   private get isCurrent(): boolean {
     const { leaderId, term } = this.member;
-    return leaderId === this.of.leaderId && term === this.of.term;
+    return leaderId === this.leadership.leaderId && term === this.leadership.term;
   }
 
   get group(): string {
@@ -126,11 +126,11 @@
   }
 
   get ownId(): string {
-    return this.of.leaderId;
+    return this.leadership.leaderId;
   }
 
   get term(): number {
-    return this.of.term;
+    return this.leadership.term;
   }
 
   get commitIndex(): number {
@@ -167,7 +167,7 @@
   }
 
   onHigherTerm(): void {
-    this.of.onHigherTerm();
+    this.leadership.onHigherTerm();
   }
 }
 
--- a/src/consensus/lost-append-responses.test.ts
+++ b/src/consensus/lost-append-responses.test.ts
@@ -19,12 +19,12 @@
 beforeEach(() => simulateTime(1));
 
 /** Until a connection is found silent, in milliseconds; a heartbeat passes on another one meanwhile. */
-const FOUND_SILENT_MS = 60;
+const DETECTION_MS = 60;
 /** Well above what a commit takes here, in milliseconds. */
 const COMMITTED_WITHIN_MS = 1_500;
 
 /** Loses the answers to some appends. */
-class AnswerLosingNetwork extends LoopbackNetwork {
+class ResponseLosingNetwork extends LoopbackNetwork {
   loses: (request: AppendRequest) => boolean = () => false;
 
   override peersOf(own: string, lane = ''): PeerCaller {
@@ -32,17 +32,17 @@
     return {
       isConnected: (address) => peers.isConnected(address),
       call: async (address, method, request, options) => {
-        const answer = await peers.call(address, method, request, options);
+        const response = await peers.call(address, method, request, options);
         const isLost = method.name === APPEND.name && this.loses(request as AppendRequest);
-        if (!isLost) return answer;
-        await sleep(FOUND_SILENT_MS);
+        if (!isLost) return response;
+        await sleep(DETECTION_MS);
         throw new LinkError('connection replaced', { step: APPEND.name, retriable: true });
       },
     };
   }
 }
 
-async function startGroup(network: AnswerLosingNetwork) {
+async function startGroup(network: ResponseLosingNetwork) {
   const cluster = await startCluster({ network, consensus: { maxProposalWaitMs: 300 } });
   const leader = await cluster.waitLeader();
   await cluster.client().execute(GROUP, 'first', { timeoutMs: 5_000 });
@@ -52,7 +52,7 @@
 
 describe('a leader that loses the answers to its appends', () => {
   it('commits what its followers hold', async () => {
-    const network = new AnswerLosingNetwork();
+    const network = new ResponseLosingNetwork();
     const { group } = (await startGroup(network)).leader;
     const lostIndex = group.log.lastIndex + 1;
     let left = 2;
@@ -63,7 +63,7 @@
   });
 
   it('becomes current when that happens to its first entry', async () => {
-    const network = new AnswerLosingNetwork();
+    const network = new ResponseLosingNetwork();
     const { cluster, leader } = await startGroup(network);
     const { term } = leader.group;
     let hasLost = false;
@@ -79,7 +79,7 @@
   });
 
   it('takes commands again after a moment of it under load', async () => {
-    const network = new AnswerLosingNetwork();
+    const network = new ResponseLosingNetwork();
     const { group } = (await startGroup(network)).leader;
     const until = performance.now() + 500;
     network.loses = ({ entries }) => entries.length > 0 && performance.now() < until;
--- a/src/consensus/lost-request.test.ts
+++ b/src/consensus/lost-request.test.ts
@@ -15,14 +15,14 @@
 const LOST_AFTER_MS = 700;
 const LIMITS = { timeoutMs: 5_000, tryTimeoutMs: 250, maximumPauseMs: 2_000 };
 /** Far under a pause, which lasts 1 s at least after the first few. */
-const ASKED_AGAIN_MS = 150;
+const RETRY_WITHIN_MS = 150;
 
 /** A leader whose first question is lost with its connection, and a member that points at it. */
 class LosingPeers implements PeerCaller {
-  leaderAsked = 0;
+  leaderRequests = 0;
 
   async call<_Request, Response>(address: string) {
-    return (address === 'leader' ? await this.askLeader() : pointToLeader()) as Response;
+    return (address === 'leader' ? await this.askLeader() : redirectToLeader()) as Response;
   }
 
   isConnected(): boolean {
@@ -30,14 +30,14 @@
   }
 
   private async askLeader(): Promise<TryResult<string>> {
-    this.leaderAsked += 1;
-    if (this.leaderAsked > 1) return { response: 'here' };
+    this.leaderRequests += 1;
+    if (this.leaderRequests > 1) return { response: 'here' };
     await sleep(LOST_AFTER_MS);
     throw new LinkError('link is down', { step: ASK.name, peer: 'leader', retriable: true });
   }
 }
 
-function pointToLeader(): TryResult<string> {
+function redirectToLeader(): TryResult<string> {
   return { leaderAddress: 'leader', refusal: 'not the leader' };
 }
 
@@ -45,8 +45,8 @@
   const peers = new LosingPeers();
   const client = new GroupClient({ peers, addresses: ['leader', 'follower'] });
   const startedAt = performance.now();
-  const answer = client.callWithRedirect('group', ASK, {}, (response) => response, LIMITS);
-  expect(await answer).toBe('here');
-  expect(performance.now() - startedAt).toBeLessThan(LOST_AFTER_MS + ASKED_AGAIN_MS);
-  expect(peers.leaderAsked).toBe(2);
+  const result = client.callWithRedirect('group', ASK, {}, (response) => response, LIMITS);
+  expect(await result).toBe('here');
+  expect(performance.now() - startedAt).toBeLessThan(LOST_AFTER_MS + RETRY_WITHIN_MS);
+  expect(peers.leaderRequests).toBe(2);
 });
--- a/src/consensus/member-log.ts
+++ b/src/consensus/member-log.ts
@@ -62,13 +62,13 @@
       });
     }
     const log = new MemberLog(group, wal, snapshots, snapshot);
-    if (snapshot) await log.reachSnapshot(snapshot);
+    if (snapshot) await log.alignWithSnapshot(snapshot);
     return log;
   }
 
   /** @throws DamagedLogError when the log is gone: its term and vote were durable before any snapshot */
-  private async reachSnapshot(snapshot: StoredSnapshot): Promise<void> {
-    if (this.holds(snapshot)) return;
+  private async alignWithSnapshot(snapshot: StoredSnapshot): Promise<void> {
+    if (this.containsSnapshot(snapshot)) return;
     if (this.hardState.term === 0) {
       throw new DamagedLogError('the log is gone but its snapshot is not', {
         step: 'consensus.open',
@@ -82,7 +82,7 @@
    * Whether the log reaches a snapshot: it does not where the process before was killed between storing its
    * leader's snapshot and letting the log go.
    */
-  private holds({ index, term }: SnapshotMark): boolean {
+  private containsSnapshot({ index, term }: SnapshotMark): boolean {
     return this.state.termAt(index) === term;
   }
 
@@ -152,7 +152,7 @@
    * @throws StorageFullError (synchronously) when there is no room; nothing changed then
    */
   append(received: LogEntry[]): Promise<void> {
-    const entries = received.map(withOwnMemory);
+    const entries = received.map(withCopiedData);
     const first = entries[0];
     if (!first) return Promise.resolve();
     const records: LogRecord[] = [{ kind: 'entries', group: this.group, entries }];
@@ -163,7 +163,7 @@
     const written = this.wal.append(records);
     entries.forEach(dropAttachments);
     this.entriesWritten = written;
-    if (conflicts) this.forgetConfigurationsFrom(first.index);
+    if (conflicts) this.removeConfigurationsFrom(first.index);
     this.noteConfigurations(entries);
     return written;
   }
@@ -172,9 +172,9 @@
    * Hands over what a start found attached to entries behind an index; it is held no longer.
    * @returns copies of the entries
    */
-  takeAttached(behindIndex: number): LogEntry[] {
+  takeAttached(afterIndex: number): LogEntry[] {
     const held = this.state.entries;
-    const found = held.filter(({ index }) => index > behindIndex).map((entry) => ({ ...entry }));
+    const found = held.filter(({ index }) => index > afterIndex).map((entry) => ({ ...entry }));
     held.forEach(dropAttachments);
     return found;
   }
@@ -236,7 +236,7 @@
     }
   }
 
-  private forgetConfigurationsFrom(index: number): void {
+  private removeConfigurationsFrom(index: number): void {
     this.configurations = this.configurations.filter((entry) => entry.index < index);
   }
 }
@@ -252,6 +252,6 @@
  * Entries stay in memory for long, but come as views of buffers that hold much else: the encoder's,
  * of which a leader fills many with messages to its followers, or a received frame.
  */
-function withOwnMemory(entry: LogEntry): LogEntry {
+function withCopiedData(entry: LogEntry): LogEntry {
   return { ...entry, data: new Uint8Array(entry.data) };
 }
--- a/src/consensus/open-tries.ts
+++ b/src/consensus/open-tries.ts
@@ -35,9 +35,9 @@
 }
 
 export class PendingAttempts<Response> {
-  private readonly open = new Set<string>();
-  private readonly answers: AttemptOutcome<Response>[] = [];
-  private onAnswer: () => void = () => undefined;
+  private readonly pending = new Set<string>();
+  private readonly outcomes: AttemptOutcome<Response>[] = [];
+  private onOutcome: () => void = () => undefined;
 
   constructor(
     private readonly attempt: Attempt<Response>,
@@ -45,25 +45,25 @@
   ) {}
 
   has(address: string): boolean {
-    return this.open.has(address);
+    return this.pending.has(address);
   }
 
   /** Asks a member, unless its answer is outstanding. */
   begin(address: string): void {
-    if (this.open.has(address)) return;
-    this.open.add(address);
-    void this.ask(address).then((answer) => {
-      this.answers.push(answer);
-      this.onAnswer();
+    if (this.pending.has(address)) return;
+    this.pending.add(address);
+    void this.ask(address).then((outcome) => {
+      this.outcomes.push(outcome);
+      this.onOutcome();
     });
   }
 
   /** The next answer or failure of any member, or nothing after `timeoutMs`. */
   async next(timeoutMs: number): Promise<AttemptOutcome<Response> | undefined> {
-    if (this.answers.length === 0) await this.waitForAnswer(timeoutMs);
-    const answer = this.answers.shift();
-    if (answer) this.open.delete(answer.address);
-    return answer;
+    if (this.outcomes.length === 0) await this.waitForOutcome(timeoutMs);
+    const outcome = this.outcomes.shift();
+    if (outcome) this.pending.delete(outcome.address);
+    return outcome;
   }
 
   /**
@@ -72,25 +72,25 @@
    */
   async pause(
     forMs: number,
-    endsPause: (answer: AttemptOutcome<Response>) => boolean,
+    endsPause: (outcome: AttemptOutcome<Response>) => boolean,
   ): Promise<void> {
     const until = monotonicMs() + forMs;
-    while (!this.answers.some(endsPause)) {
+    while (!this.outcomes.some(endsPause)) {
       const leftMs = until - monotonicMs();
       if (leftMs <= 0) return;
-      await this.waitForAnswer(leftMs);
+      await this.waitForOutcome(leftMs);
     }
   }
 
-  private async waitForAnswer(timeoutMs: number): Promise<void> {
+  private async waitForOutcome(timeoutMs: number): Promise<void> {
     await new Promise<void>((resolve) => {
       const timer = setTimeout(resolve, timeoutMs);
-      this.onAnswer = () => {
+      this.onOutcome = () => {
         clearTimeout(timer);
         resolve();
       };
     });
-    this.onAnswer = () => undefined;
+    this.onOutcome = () => undefined;
   }
 
   private async ask(address: string): Promise<AttemptOutcome<Response>> {
--- a/src/consensus/overload.test.ts
+++ b/src/consensus/overload.test.ts
@@ -111,16 +111,16 @@
   const leader = group.leaderAddress!;
   const load = new Load(cluster);
   await load.send(QUIET_PER_SECOND, BEFORE_MS);
-  const burstAt = monotonicMs();
+  const burstStartAt = monotonicMs();
   const sentBefore = links.sentBy(leader);
   await load.send(BURST_PER_SECOND, BURST_MS);
-  const overAt = monotonicMs();
+  const burstEndAt = monotonicMs();
   const burstBytes = links.sentBy(leader) - sentBefore;
   await load.send(QUIET_PER_SECOND, AFTER_MS);
   await load.finish();
 
-  const burst = load.servedBetween(burstAt, overAt);
-  const after = load.servedBetween(overAt + RECOVERY_MS, overAt + AFTER_MS);
+  const burst = load.servedBetween(burstStartAt, burstEndAt);
+  const after = load.servedBetween(burstEndAt + RECOVERY_MS, burstEndAt + AFTER_MS);
   expect.soft({ leads: group.isLeader, term: group.term }).toEqual({ leads: true, term });
   expect.soft(burst.served * NEEDED_BYTES).toBeGreaterThan(burstBytes / 2);
   expect.soft(burst.served / (BURST_MS / 1_000)).toBeGreaterThan(QUIET_PER_SECOND);
--- a/src/consensus/proposal-limiter.test.ts
+++ b/src/consensus/proposal-limiter.test.ts
@@ -15,7 +15,7 @@
   readonly appended: number[] = [];
   readonly reported: number[] = [];
   private readonly open: Deferred<unknown>[] = [];
-  readonly gate = new ProposalLimiter({
+  readonly limiter = new ProposalLimiter({
     group: 'test',
     commitTargetMs: COMMIT_TARGET_MS,
     maxWaitMs: MAX_WAIT_MS,
@@ -27,7 +27,7 @@
   /** Settles with the command's number, or the name of the error. */
   async propose(number: number, bytes = LARGE_BYTES): Promise<unknown> {
     const command = Buffer.alloc(bytes, number);
-    return this.gate.submit({ command }).catch((error: Error) => error.constructor.name);
+    return this.limiter.submit({ command }).catch((error: Error) => error.constructor.name);
   }
 
   /** Commits the oldest command that is not committed. */
@@ -49,20 +49,20 @@
     const log = new Log();
     for (let number = 0; number < 100; number += 1) void log.propose(number, 200);
     expect(log.appended).toHaveLength(100);
-    const other = new Log();
-    void other.propose(1, 3 * LARGE_BYTES);
-    expect(other.appended).toEqual([1]);
+    const secondLog = new Log();
+    void secondLog.propose(1, 3 * LARGE_BYTES);
+    expect(secondLog.appended).toEqual([1]);
   });
 
   it('lets the next in, in order, when one is committed', async () => {
     const log = new Log();
     const results = [1, 2, 3].map((number) => log.propose(number));
     expect(log.appended).toEqual([1]);
-    expect(log.gate.hasWaiting).toBe(true);
+    expect(log.limiter.hasWaiting).toBe(true);
     await log.commit();
     await log.commit();
     expect(log.appended).toEqual([1, 2, 3]);
-    expect(log.gate.hasWaiting).toBe(false);
+    expect(log.limiter.hasWaiting).toBe(false);
     await log.commit();
     expect(await Promise.all(results)).toEqual(['committed', 'committed', 'committed']);
   });
@@ -70,10 +70,10 @@
   it('refuses what has waited for too long, and says so', async () => {
     const log = new Log();
     void log.propose(1);
-    const refused = await Promise.all([log.propose(2), log.propose(3)]);
-    expect(refused).toEqual([GroupOverloadedError.name, GroupOverloadedError.name]);
+    const rejected = await Promise.all([log.propose(2), log.propose(3)]);
+    expect(rejected).toEqual([GroupOverloadedError.name, GroupOverloadedError.name]);
     expect(log.appended).toEqual([1]);
-    expect(log.gate.refused).toBe(2);
+    expect(log.limiter.refused).toBe(2);
     expect(log.reported).toEqual([1]);
   });
 
@@ -96,14 +96,14 @@
       await log.commit();
     }
     void log.propose(6, 200 * 1024);
-    expect(log.gate.hasWaiting).toBe(true);
+    expect(log.limiter.hasWaiting).toBe(true);
   });
 
   it('refuses at once what waits when leadership ends, and begins anew', async () => {
     const log = new Log();
     void log.propose(1);
     const waiting = log.propose(2);
-    log.gate.close(new Error('not the leader'));
+    log.limiter.close(new Error('not the leader'));
     expect(await waiting).toBe(Error.name);
     void log.propose(3);
     expect(log.appended).toEqual([1, 3]);
--- a/src/consensus/proposal-limiter.ts
+++ b/src/consensus/proposal-limiter.ts
@@ -72,14 +72,14 @@
   submit(proposal: Proposal): Promise<unknown> {
     if (this.waiting.length === 0 && this.window.hasRoom(proposal.command.length)) {
       this.options.times.gate.record(0);
-      return this.append(proposal);
+      return this.appendWithinWindow(proposal);
     }
-    if (this.waitingBytes + heldBytes(proposal) > MAX_WAITING_BYTES) {
+    if (this.waitingBytes + sizeOf(proposal) > MAX_WAITING_BYTES) {
       return Promise.reject(this.overloaded());
     }
     const result = new Deferred<unknown>();
     this.waiting.push({ proposal, result, since: monotonicMs() });
-    this.waitingBytes += heldBytes(proposal);
+    this.waitingBytes += sizeOf(proposal);
     this.armTimer();
     return result.promise;
   }
@@ -98,35 +98,35 @@
     this.window.clear();
   }
 
-  private append(proposal: Proposal): Promise<unknown> {
+  private appendWithinWindow(proposal: Proposal): Promise<unknown> {
     const { window } = this;
     const bytes = proposal.command.length;
     const appendedAt = monotonicMs();
     const committed = this.options.append(proposal);
     window.take(bytes);
-    const free = (): void => {
+    const onCommitted = (): void => {
       const tookMs = monotonicMs() - appendedAt;
       this.options.times.commit.record(tookMs);
       window.noteCommitted(bytes, tookMs);
-      this.admit();
+      this.admitWaiting();
     };
-    committed.then(free, () => undefined);
+    committed.then(onCommitted, () => undefined);
     return committed;
   }
 
-  private admit(): void {
+  private admitWaiting(): void {
     for (;;) {
-      const next = this.next();
-      if (!next || !this.window.hasRoom(next.proposal.command.length)) return;
-      this.remove(next);
-      this.appendFor(next);
+      const nextWaiting = this.nextWaiting();
+      if (!nextWaiting || !this.window.hasRoom(nextWaiting.proposal.command.length)) return;
+      this.remove(nextWaiting);
+      this.appendWaiting(nextWaiting);
     }
   }
 
-  private appendFor({ proposal, result, since }: WaitingProposal): void {
+  private appendWaiting({ proposal, result, since }: WaitingProposal): void {
     this.options.times.gate.record(monotonicMs() - since);
     try {
-      this.append(proposal).then(
+      this.appendWithinWindow(proposal).then(
         (value) => result.resolve(value),
         (error) => result.reject(error),
       );
@@ -139,7 +139,7 @@
    * Those that came last once the oldest has waited for long: the group is overloaded then, and in
    * order each would be served just when its caller gives up.
    */
-  private next(): WaitingProposal | undefined {
+  private nextWaiting(): WaitingProposal | undefined {
     const [oldest] = this.waiting;
     if (!oldest) return undefined;
     const isOverloaded = monotonicMs() - oldest.since > this.options.maxWaitMs / 2;
@@ -149,7 +149,7 @@
   private remove(waiting: WaitingProposal): void {
     if (this.waiting.at(-1) === waiting) this.waiting.pop();
     else this.waiting.shift();
-    this.waitingBytes -= heldBytes(waiting.proposal);
+    this.waitingBytes -= sizeOf(waiting.proposal);
   }
 
   private armTimer(): void {
@@ -188,6 +188,6 @@
   }
 }
 
-function heldBytes({ command, attachments = [] }: Proposal): number {
+function sizeOf({ command, attachments = [] }: Proposal): number {
   return attachments.reduce((sum, { length }) => sum + length, command.length);
 }
--- a/src/consensus/quorum-check.test.ts
+++ b/src/consensus/quorum-check.test.ts
@@ -8,8 +8,8 @@
 import { QuorumCheck } from './quorum-check.js';
 
 const TIMING = { heartbeatIntervalMs: 60, electionTimeoutMs: 300 };
-const LATE_INTERVAL_MS = 400;
-const STANDSTILL_MS = 4_000;
+const DELAYED_INTERVAL_MS = 400;
+const STALL_MS = 4_000;
 
 beforeEach(() => void vi.useFakeTimers({ toFake: ['performance'] }));
 afterEach(() => void vi.useRealTimers());
@@ -19,7 +19,7 @@
     const contactMs = performance.now();
     const check = new QuorumCheck(TIMING);
     const found = Array.from({ length: 10 }, () => {
-      vi.advanceTimersByTime(LATE_INTERVAL_MS);
+      vi.advanceTimersByTime(DELAYED_INTERVAL_MS);
       return check.isQuorumLost(contactMs);
     });
     expect(found.indexOf(true)).toBeGreaterThanOrEqual(0);
@@ -30,7 +30,7 @@
     const check = new QuorumCheck(TIMING);
     for (let round = 0; round < 10; round += 1) {
       const sentAt = performance.now();
-      vi.advanceTimersByTime(LATE_INTERVAL_MS);
+      vi.advanceTimersByTime(DELAYED_INTERVAL_MS);
       expect(check.isQuorumLost(sentAt)).toBe(false);
     }
   });
@@ -38,7 +38,7 @@
   it('lets answers be read after a standstill, once', () => {
     const contactMs = performance.now();
     const check = new QuorumCheck(TIMING);
-    vi.advanceTimersByTime(STANDSTILL_MS);
+    vi.advanceTimersByTime(STALL_MS);
     expect(check.isQuorumLost(contactMs)).toBe(false);
     vi.advanceTimersByTime(TIMING.heartbeatIntervalMs);
     expect(check.isQuorumLost(contactMs)).toBe(true);
--- a/src/consensus/replaced-member-heartbeats.test.ts
+++ b/src/consensus/replaced-member-heartbeats.test.ts
@@ -18,10 +18,10 @@
 const CONSENSUS = { heartbeatIntervalMs: 20, electionTimeoutMs: ELECTION_TIMEOUT_MS };
 const HEARTBEATS_MS = 200;
 /** Long enough for a learner to be sent entries by the leader itself. */
-const CUT_MS = 1_500;
+const ISOLATION_MS = 1_500;
 
 /** A leader, a follower, and a learner in the place of a voter that lost its disk. */
-async function startWithRenewedMember() {
+async function startWithReplacedMember() {
   simulateTime(1);
   const cluster = await startCluster({ consensus: CONSENSUS });
   const leader = await cluster.waitLeader();
@@ -39,7 +39,7 @@
 }
 
 it('hears a renewed member by its heartbeats, and not the voter whose disk it lost', async () => {
-  const { leader, old, learner } = await startWithRenewedMember();
+  const { leader, old, learner } = await startWithReplacedMember();
   const silentMs = (id: string): number => performance.now() - leader.group.contactMsOf(id);
   expect.soft(silentMs(learner.id)).toBeLessThan(ELECTION_TIMEOUT_MS);
   expect.soft(silentMs(old.id)).toBeGreaterThanOrEqual(HEARTBEATS_MS);
@@ -47,11 +47,11 @@
 });
 
 it('commits nothing and steps down when only a learner answers in the place of a lost voter', async () => {
-  const { cluster, leader, follower } = await startWithRenewedMember();
+  const { cluster, leader, follower } = await startWithReplacedMember();
   cluster.network.isolate(follower.member.address);
   const committedBefore = leader.group.commitIndex;
   leader.group.propose(Buffer.from('a')).catch(() => undefined);
-  await sleep(CUT_MS);
+  await sleep(ISOLATION_MS);
   expect.soft(leader.group.commitIndex).toBe(committedBefore);
   expect.soft(leader.group.isLeader).toBe(false);
 });
--- a/src/consensus/replaced-snapshot-sources.test.ts
+++ b/src/consensus/replaced-snapshot-sources.test.ts
@@ -15,10 +15,10 @@
 
 const SIZE = 3;
 /** Far longer than a snapshot takes to be sent again, in milliseconds. */
-const PATIENCE_MS = 2_000;
+const CATCH_UP_MS = 2_000;
 
 /** Data that every running member has and gives to whoever asks. */
-class HeldByMembers implements ExternalState {
+class SharedExternalState implements ExternalState {
   constructor(private readonly isRunning: (member: Member) => boolean) {}
 
   waitForRoom(): Promise<void> {
@@ -70,7 +70,8 @@
 it('are the members of today, and not only those that a snapshot names', async () => {
   const cluster: ConsensusCluster = await startCluster({
     size: SIZE,
-    createMachine: () => new ListMachine(new HeldByMembers(({ id }) => cluster.running.has(id))),
+    createMachine: () =>
+      new ListMachine(new SharedExternalState(({ id }) => cluster.running.has(id))),
   });
   const founders = cluster.members;
   const first = await cluster.waitLeader();
@@ -90,7 +91,7 @@
   await cluster.start(latest, false);
   await waitUntil('settled', () => group.isConfigurationSettled);
   await group.addMember(latest);
-  await sleep(PATIENCE_MS);
+  await sleep(CATCH_UP_MS);
   expect(group.isLeader).toBe(true);
   expect(group.matchIndexOf(latest.id)).toBe(group.log.lastIndex);
 });
--- a/src/consensus/replicated-group.ts
+++ b/src/consensus/replicated-group.ts
@@ -76,10 +76,10 @@
   readonly traffic = createReplicationTraffic();
   readonly times = createCommitTimings();
   readonly sendsSnapshots = true;
-  private readonly duty: FollowerRequestHandler;
+  private readonly handler: FollowerRequestHandler;
   private readonly replicators = new Map<string, Replicator>();
   private readonly proposals: PendingProposals;
-  private readonly gate: ProposalLimiter;
+  private readonly proposalLimiter: ProposalLimiter;
   private readonly relays = new LearnerRelays(this);
   private readonly quorumCheck: QuorumCheck;
   private readonly quorumContact = new SignalEvent();
@@ -99,7 +99,7 @@
     this.name = log.group;
     this.proposals = new PendingProposals(log.group);
     const { heartbeatIntervalMs, maxProposalWaitMs } = environment.options;
-    this.gate = new ProposalLimiter({
+    this.proposalLimiter = new ProposalLimiter({
       group: log.group,
       commitTargetMs: COMMIT_TARGET_HEARTBEATS * heartbeatIntervalMs,
       maxWaitMs: maxProposalWaitMs,
@@ -109,7 +109,7 @@
     });
     this.commitIndex = log.latestSnapshot?.index ?? 0;
     this.applier = new Applier(this, stateMachine, environment);
-    this.duty = new FollowerRequestHandler(this, environment);
+    this.handler = new FollowerRequestHandler(this, environment);
     this.quorumCheck = new QuorumCheck(environment.options);
     this.setFirstElectionDeadline();
   }
@@ -164,7 +164,7 @@
   }
 
   get requestHandler(): FollowerRequestHandler {
-    return this.duty;
+    return this.handler;
   }
 
   /** Address of the member that leads, when known. */
@@ -189,26 +189,26 @@
   async propose(command: Uint8Array, attachments?: readonly Uint8Array[]): Promise<unknown> {
     if (!this.isLeader || this.isTransferring) throw this.notLeader();
     const isFull = this.log.heldBytes >= this.environment.options.maxHeldBytes;
-    if (isFull) throw this.heldTooMuch();
-    return this.gate.submit({ command, attachments });
+    if (isFull) throw this.memoryLimitError();
+    return this.proposalLimiter.submit({ command, attachments });
   }
 
   private appendCommand({ command: data, attachments }: Proposal): Promise<unknown> {
     try {
       return this.appendAsLeader({ kind: 'command', data, attachments });
     } catch (error) {
-      if (error instanceof DiskFullError) this.leaveLeadership();
+      if (error instanceof DiskFullError) this.giveUpLeadership();
       throw error;
     }
   }
 
-  private heldTooMuch(): StorageFullError {
+  private memoryLimitError(): StorageFullError {
     const context = { step: 'consensus.propose', peer: this.name, retriable: true };
     return new StorageFullError('too many bytes of entries in memory', context);
   }
 
   /** A leader whose disk takes no entries lets another lead; a quota is used up everywhere alike. */
-  private leaveLeadership(): void {
+  private giveUpLeadership(): void {
     void this.transferLeadership().catch((error) => this.environment.onFatal(error));
   }
 
@@ -245,12 +245,12 @@
 
   /** Whether there are more commands than the group commits soon. */
   get isOverloaded(): boolean {
-    return this.gate.hasWaiting;
+    return this.proposalLimiter.hasWaiting;
   }
 
   /** Commands refused so far as too many, and bytes of commands that may wait for their commit at a time. */
   get admission(): { refused: number; windowBytes: number } {
-    return { refused: this.gate.refused, windowBytes: this.gate.windowBytes };
+    return { refused: this.proposalLimiter.refused, windowBytes: this.proposalLimiter.windowBytes };
   }
 
   /** Adds a member or changes its role; one change at a time. */
@@ -266,7 +266,7 @@
   async transferLeadership(): Promise<boolean> {
     if (!this.isLeader) return true;
     this.isTransferring = true;
-    this.gate.refuseAll(this.notLeader());
+    this.proposalLimiter.refuseAll(this.notLeader());
     try {
       return await transferLeadership(this, this.replicators);
     } finally {
@@ -293,7 +293,7 @@
   /** The leader's connection to this member has closed; the leader may be gone, or come back. */
   noteLeaderDisconnected(): void {
     if (this.isStopped || this.isLeader) return;
-    this.duty.forgetLeader();
+    this.handler.forgetLeader();
     const { disconnectTimeoutMs } = this.environment.options;
     this.electionTimer.bringForwardTo(disconnectTimeoutMs * (1 + Math.random()));
   }
@@ -313,7 +313,7 @@
 
   private onElectionDue(): void {
     if (this.isStopped || this.isLeader) return;
-    if (this.duty.hasHeardLeader) this.resetElectionDeadline();
+    if (this.handler.hasSeenLeader) this.resetElectionDeadline();
     else this.setFirstElectionDeadline();
     if (isVoter(this.configuration, this.ownId)) this.startElection(false);
   }
@@ -324,8 +324,8 @@
    */
   private setFirstElectionDeadline(): void {
     const { startupElectionTimeoutMs } = this.environment.options;
-    const waits = 1 + Math.random() + startupRank(this.configuration, this.ownId, this.name);
-    this.electionTimer.setIn(startupElectionTimeoutMs * waits);
+    const timeouts = 1 + Math.random() + startupRank(this.configuration, this.ownId, this.name);
+    this.electionTimer.setIn(startupElectionTimeoutMs * timeouts);
   }
 
   heartbeatFor(member: Member): Heartbeat | undefined {
@@ -361,7 +361,7 @@
     for (const replicator of this.replicators.values()) replicator.stop();
     this.replicators.clear();
     this.quorumContact.notify();
-    this.gate.close(this.notLeader());
+    this.proposalLimiter.close(this.notLeader());
     this.proposals.abandonAll();
     this.resetElectionDeadline();
     this.environment.onLeadershipChange(this);
--- a/src/consensus/replicator.ts
+++ b/src/consensus/replicator.ts
@@ -25,7 +25,7 @@
  * After a time-out: what is on its way still may be received, and the same bytes sent again and again
  * would fill the link for good. A connection that has ended ends the wait at once.
  */
-const LONGEST_APPEND_TIMEOUT_MS = 2_000;
+const MAX_APPEND_TIMEOUT_MS = 2_000;
 /** A peer that sends nothing for so long is connected to anew, in milliseconds: as for heartbeats. */
 const APPEND_SILENCE_MS = 400;
 const SNAPSHOT_TIMEOUT_MS = 5_000;
@@ -34,14 +34,14 @@
  * While commands wait, a learner's share of the time: it rests so many times as long as
  * its batch took. Three learners beside four voters take 0.16 of a full link then, not 0.43.
  */
-const LEARNER_REST = 3;
+const LEARNER_PAUSE_FACTOR = 3;
 /**
  * A learner that gets no further for so long, in milliseconds, is sent entries by the leader itself: some
  * heartbeats, in which a voter that works sends several batches.
  */
-const RELAY_PATIENCE_MS = 600;
+const RELAY_PROGRESS_TIMEOUT_MS = 600;
 /** For how long then, in milliseconds; a relay that is still gone costs another wait after that. */
-const DIRECT_MS = 3_000;
+const DIRECT_REPLICATION_MS = 3_000;
 
 /** What the task needs of the log that it sends. */
 export type ReplicatedLog = Pick<
@@ -89,16 +89,16 @@
   private readonly stopping = new AbortController();
   private readonly batchLimit: BatchLimit;
   private appendTimeoutMs = APPEND_TIMEOUT_MS;
-  private relayMissedAt = Number.NEGATIVE_INFINITY;
+  private relayFailedAt = Number.NEGATIVE_INFINITY;
   /** Ends the pause in which entries for a learner gather. */
-  private gathering: AbortController | undefined;
+  private pauseController: AbortController | undefined;
 
   constructor(
-    private readonly leader: ReplicationSource,
+    private readonly source: ReplicationSource,
     readonly member: Member,
   ) {
-    this.nextIndex = leader.log.lastIndex + 1;
-    this.batchLimit = new BatchLimit(BATCH_TARGET_HEARTBEATS * leader.heartbeatIntervalMs);
+    this.nextIndex = source.log.lastIndex + 1;
+    this.batchLimit = new BatchLimit(BATCH_TARGET_HEARTBEATS * source.heartbeatIntervalMs);
     void this.run();
   }
 
@@ -110,7 +110,7 @@
   /** Finds anew how far the follower's log matches: it was restarted and has forgotten. */
   probeAgain(): void {
     this.hasProbed = false;
-    this.gathering?.abort();
+    this.pauseController?.abort();
     this.wake.notify();
   }
 
@@ -122,17 +122,17 @@
     if (index <= this.matchIndex) return;
     this.matchIndex = index;
     this.nextIndex = Math.max(this.nextIndex, index + 1);
-    this.leader.onFollowerProgress();
+    this.source.onFollowerProgress();
   }
 
   /** The follower counts for commits from now on. */
   notePromoted(): void {
-    this.gathering?.abort();
+    this.pauseController?.abort();
   }
 
   stop(): void {
     this.stopping.abort();
-    this.gathering?.abort();
+    this.pauseController?.abort();
     this.wake.notify();
   }
 
@@ -148,17 +148,17 @@
   private async run(): Promise<void> {
     const backoff = new Backoff({ initialMs: 20, maximumMs: 200 });
     while (!this.isStopped) {
-      if (this.hasProbed && this.nextIndex > this.leader.log.lastIndex) {
+      if (this.hasProbed && this.nextIndex > this.source.log.lastIndex) {
         await this.wake.wait();
         continue;
       }
       try {
-        const { lastIndex } = this.leader.log;
+        const { lastIndex } = this.source.log;
         const sentAt = monotonicMs();
         await this.sendNext();
         backoff.reset();
-        await this.restAsLearner(monotonicMs() - sentAt, this.matchIndex >= lastIndex);
-        await this.leaveToRelay();
+        await this.throttleLearner(monotonicMs() - sentAt, this.matchIndex >= lastIndex);
+        await this.yieldToRelay();
       } catch {
         await sleep(backoff.nextDelayMs(), this.stopping.signal);
       }
@@ -169,61 +169,61 @@
    * Nothing waits for the answers of a learner. One that holds all there is gets what comes next
    * together, once a heartbeat interval; one that does not gives way to commands that wait.
    */
-  private async restAsLearner(tookMs: number, holdsAll: boolean): Promise<void> {
-    const { leader, member } = this;
-    if (leader.isVoter(member.id) || this.isStopped) return;
-    const restMs = Math.max(
-      holdsAll ? leader.heartbeatIntervalMs : 0,
-      leader.isOverloaded ? LEARNER_REST * tookMs : 0,
+  private async throttleLearner(tookMs: number, isUpToDate: boolean): Promise<void> {
+    const { source, member } = this;
+    if (source.isVoter(member.id) || this.isStopped) return;
+    const pauseMs = Math.max(
+      isUpToDate ? source.heartbeatIntervalMs : 0,
+      source.isOverloaded ? LEARNER_PAUSE_FACTOR * tookMs : 0,
     );
-    if (restMs > 0) await this.pause(restMs);
+    if (pauseMs > 0) await this.pause(pauseMs);
   }
 
   /** Sends a learner nothing as long as the voter that sends entries on brings it forward. */
-  private async leaveToRelay(): Promise<void> {
-    const { leader } = this;
-    while (this.mayLeaveToRelay) {
-      if (monotonicMs() - this.relayMissedAt < DIRECT_MS) return;
-      const { lastIndex } = leader.log;
+  private async yieldToRelay(): Promise<void> {
+    const { source } = this;
+    while (this.canYieldToRelay) {
+      if (monotonicMs() - this.relayFailedAt < DIRECT_REPLICATION_MS) return;
+      const { lastIndex } = source.log;
       const { matchIndex } = this;
-      await this.pause(RELAY_PATIENCE_MS);
+      await this.pause(RELAY_PROGRESS_TIMEOUT_MS);
       if (this.matchIndex < lastIndex && this.matchIndex === matchIndex) {
-        this.relayMissedAt = monotonicMs();
+        this.relayFailedAt = monotonicMs();
       }
     }
   }
 
   /** A learner that holds nothing yet is brought there by the leader, and so is one that has forgotten. */
-  private get mayLeaveToRelay(): boolean {
+  private get canYieldToRelay(): boolean {
     if (this.isStopped || !this.hasProbed || this.needsSnapshot) return false;
-    return this.matchIndex > 0 && this.leader.isRelayed(this.member.id);
+    return this.matchIndex > 0 && this.source.isRelayed(this.member.id);
   }
 
   /** Ends early when the member is promoted, or has forgotten how far its log matches. */
   private async pause(milliseconds: number): Promise<void> {
-    this.gathering = new AbortController();
-    await sleep(milliseconds, this.gathering.signal);
-    this.gathering = undefined;
+    this.pauseController = new AbortController();
+    await sleep(milliseconds, this.pauseController.signal);
+    this.pauseController = undefined;
   }
 
   private get needsSnapshot(): boolean {
-    return this.nextIndex <= this.leader.log.compactedTo.index;
+    return this.nextIndex <= this.source.log.compactedTo.index;
   }
 
   private async sendNext(): Promise<void> {
     if (!this.needsSnapshot) await this.sendEntries();
-    else if (this.leader.sendsSnapshots) await this.sendSnapshot();
-    else await this.waitForSnapshotOfOther();
+    else if (this.source.sendsSnapshots) await this.sendSnapshot();
+    else await this.waitForLeaderSnapshot();
   }
 
-  private async waitForSnapshotOfOther(): Promise<void> {
-    await this.pause(RELAY_PATIENCE_MS);
-    this.nextIndex = this.leader.log.lastIndex + 1;
+  private async waitForLeaderSnapshot(): Promise<void> {
+    await this.pause(RELAY_PROGRESS_TIMEOUT_MS);
+    this.nextIndex = this.source.log.lastIndex + 1;
     this.hasProbed = false;
   }
 
   private async sendEntries(): Promise<void> {
-    const { log, group, ownId, term, commitIndex } = this.leader;
+    const { log, group, ownId, term, commitIndex } = this.source;
     const previousIndex = this.nextIndex - 1;
     const previousTerm = log.termAt(previousIndex) ?? 0;
     const entries = this.hasProbed ? log.slice(this.nextIndex, this.batchLimit.bytes) : [];
@@ -232,19 +232,19 @@
     const sentAt = monotonicMs();
     const response = await this.callAppend(request);
     if (this.isStopped) return;
-    await this.takeResponse(response, sentAt);
+    await this.processResponse(response, sentAt);
   }
 
   private async callAppend(request: AppendRequest): Promise<AppendResponse> {
     const sentAt = monotonicMs();
     const options = { timeoutMs: this.appendTimeoutMs, silenceMs: APPEND_SILENCE_MS };
     try {
-      const response = await this.leader.call(this.member, APPEND, request, options);
+      const response = await this.source.call(this.member, APPEND, request, options);
       this.appendTimeoutMs = APPEND_TIMEOUT_MS;
       this.noteSent(request.entries, monotonicMs() - sentAt);
       return response;
     } catch (error) {
-      if (error instanceof TimeoutError) this.appendTimeoutMs = LONGEST_APPEND_TIMEOUT_MS;
+      if (error instanceof TimeoutError) this.appendTimeoutMs = MAX_APPEND_TIMEOUT_MS;
       // Nothing goes out over a link that is down.
       if (!(error instanceof LinkError)) this.noteSent(request.entries, monotonicMs() - sentAt);
       throw error;
@@ -252,8 +252,8 @@
   }
 
   private noteSent(entries: readonly LogEntry[], tookMs: number): void {
-    const { traffic } = this.leader;
-    const firstSent = this.leader.isVoter(this.member.id) ? 'voterEntries' : 'learnerEntries';
+    const { traffic } = this.source;
+    const firstSent = this.source.isVoter(this.member.id) ? 'voterEntries' : 'learnerEntries';
     let bytes = 0;
     for (const { index, data } of entries) {
       traffic[index <= this.sentIndex ? 'repeatedEntries' : firstSent] += data.length;
@@ -263,9 +263,9 @@
     this.batchLimit.note(bytes, tookMs);
   }
 
-  private async takeResponse(response: AppendResponse, sentAt: number): Promise<void> {
-    if (response.term > this.leader.term) {
-      this.leader.onHigherTerm(response.term);
+  private async processResponse(response: AppendResponse, sentAt: number): Promise<void> {
+    if (response.term > this.source.term) {
+      this.source.onHigherTerm(response.term);
       return;
     }
     this.noteAcknowledged(sentAt);
@@ -278,11 +278,11 @@
     } else {
       this.nextIndex = Math.max(1, Math.min(this.nextIndex - 1, response.matchIndex + 1));
     }
-    this.leader.onFollowerProgress();
+    this.source.onFollowerProgress();
   }
 
   private async sendSnapshot(): Promise<void> {
-    const reader = await this.leader.log.openSnapshot();
+    const reader = await this.source.log.openSnapshot();
     if (!reader) return;
     try {
       await this.sendChunks(reader);
@@ -292,21 +292,21 @@
     if (this.isStopped) return;
     this.matchIndex = Math.max(this.matchIndex, reader.head.index);
     this.nextIndex = this.matchIndex + 1;
-    this.leader.onFollowerProgress();
+    this.source.onFollowerProgress();
   }
 
   /** One chunk after the other, each answered before the next is read; a broken one begins anew. */
   private async sendChunks(reader: SnapshotReader): Promise<void> {
-    const { group, ownId, term } = this.leader;
+    const { group, ownId, term } = this.source;
     const { configuration, ...mark } = reader.head;
     const { stateBytes } = reader;
-    const latestConfiguration = encodeConfiguration(this.leader.log.configuration);
+    const latestConfiguration = encodeConfiguration(this.source.log.configuration);
     const head = { group, to: this.member.id, from: ownId, term };
     const base = { ...head, mark, configuration, latestConfiguration, stateBytes };
     let offset = 0;
     do {
       const chunk = await reader.read(SNAPSHOT_CHUNK_BYTES);
-      this.leader.traffic.snapshots += chunk.length;
+      this.source.traffic.snapshots += chunk.length;
       await this.sendChunk({ ...base, offset, chunk });
       offset += chunk.length;
     } while (offset < stateBytes && !this.isStopped);
@@ -314,10 +314,10 @@
 
   private async sendChunk(chunk: SnapshotChunk): Promise<void> {
     const sentAt = monotonicMs();
-    const response = await this.leader.call(this.member, SNAPSHOT, chunk, {
+    const response = await this.source.call(this.member, SNAPSHOT, chunk, {
       timeoutMs: SNAPSHOT_TIMEOUT_MS,
     });
-    if (response.term > this.leader.term) this.leader.onHigherTerm(response.term);
+    if (response.term > this.source.term) this.source.onHigherTerm(response.term);
     if (!response.accepted) throw new Error('snapshot chunk refused');
     this.noteAcknowledged(sentAt);
   }
--- a/src/consensus/stalled-disk.test.ts
+++ b/src/consensus/stalled-disk.test.ts
@@ -5,7 +5,7 @@
 import { encodeValue } from '../wire/index.js';
 
 /** Longer than a leader waits for an answer before it repeats entries, in milliseconds. */
-const LONGER_THAN_A_REPETITION_MS = 2_500;
+const STALL_MS = 2_500;
 const CALL = { timeoutMs: 5_000 };
 
 describe('a disk that stalls', () => {
@@ -20,7 +20,7 @@
       () => (isAcknowledged = true),
       () => undefined,
     );
-    await sleep(LONGER_THAN_A_REPETITION_MS);
+    await sleep(STALL_MS);
     expect(isAcknowledged).toBe(false);
     expect(leader.machine.items).toEqual(['before']);
     for (const { disk } of followers) disk.resume();
--- a/src/consensus/vote-after-queued-snapshot.test.ts
+++ b/src/consensus/vote-after-queued-snapshot.test.ts
@@ -24,7 +24,7 @@
   return { id, name: id, address: id, role: 'voter' };
 });
 const OWN_ID = 'own';
-const BATCH_BEGINS_MS = 20;
+const BATCH_START_MS = 20;
 
 interface OpenedMember {
   group: ReplicatedGroup;
@@ -88,7 +88,7 @@
   const fromStart = { previousIndex: 0, previousTerm: 0 };
   const announced = send(APPEND, { ...ofEarlier, ...fromStart, entries: [] });
   // The new term is being written: what comes now waits for the batch after it.
-  await sleep(BATCH_BEGINS_MS);
+  await sleep(BATCH_START_MS);
   const entries = entriesUpTo(3);
   const appended = send(APPEND, { ...ofEarlier, ...fromStart, entries });
   await waitUntil('entries wait for the disk', () => group.log.lastIndex === entries.length);
