--- a/src/consensus/applier.ts
+++ b/src/consensus/applier.ts
@@ -1,4 +1,4 @@
-/** The task that applies committed entries to the state machine, and makes and installs snapshots. */
+/** Applies committed entries to the state machine, and creates and installs snapshots. */
 import { SignalEvent } from '../common/index.js';
 import {
   type LogEntry,
@@ -18,35 +18,35 @@
 import type { GroupEnvironment, ReplicatedGroup } from './replicated-group.js';
 import type { StateMachine } from './state-machine.js';
 
-/** Pause before a snapshot that the disk had no room for is tried again, in milliseconds. */
+/** Delay before a snapshot that failed on a full disk is retried. */
 const SNAPSHOT_RETRY_MS = 1_000;
 
-/** What a snapshot of this member covers, in log indices. */
+/** Log positions of a stored snapshot. */
 export interface StoredSnapshotMarks {
   index: number;
-  /** The log holds no entry up to this one any more. */
+  /** Index of the last entry that has been removed from the log. */
   compactedTo: number;
 }
 
-/** What had been applied since the snapshot before. */
+/** Snapshot counters to restore when a snapshot fails. */
 interface SnapshotCounters {
   snapshotIndex: number;
   bytesSinceSnapshot: number;
 }
 
-/** Entries applied in one go before other tasks get their turn. */
+/** Maximum number of entries applied before control returns to the event loop. */
 const APPLY_BATCH = 256;
 
 export class Applier {
   appliedIndex: number;
   private snapshotIndex: number;
-  /** Bytes of the commands applied since the latest snapshot. */
+  /** Bytes of entries applied since the latest snapshot. */
   private bytesSinceSnapshot = 0;
   private readonly wake = new SignalEvent();
   private readonly applied = new SignalEvent();
   private isStopped = false;
   private isSnapshotting = false;
-  /** The latest installation; a leader that hears nothing in time sends the same snapshot again. */
+  /** Serializes installations: a leader resends the snapshot if the response is late. */
   private installing: Promise<void> = Promise.resolve();
 
   constructor(
@@ -62,7 +62,7 @@
     void this.run().catch((error) => environment.onFatal(error));
   }
 
-  /** Tells the task that more is committed. */
+  /** Called when the commit index has advanced. */
   notify(): void {
     this.wake.notify();
   }
@@ -78,9 +78,9 @@
   }
 
   /**
-   * Replaces the state by a snapshot from the leader, one after the other.
-   * @param members of the group today, who are asked for what the snapshot names
-   * @throws when data that the snapshot names can't be fetched or stored now; nothing changed then
+   * Replaces the state by a snapshot received from the leader. Calls run one after the other.
+   * @param members current members of the group, from which external data is fetched
+   * @throws if external data cannot be fetched or stored; the state is unchanged then
    */
   install(snapshot: StoredSnapshot, members: GroupConfiguration): Promise<void> {
     const installed = this.installing.then(() => this.installNext(snapshot, members));
@@ -93,7 +93,7 @@
     await this.fetchExternal(snapshot, members);
     await this.group.log.storeSnapshot(snapshot);
     if (snapshot.index <= this.appliedIndex) return;
-    // From here to the new applied index nothing may come between: the log has a gap meanwhile.
+    // No await until appliedIndex is updated: the log has a gap in between.
     const written = this.group.log.adoptSnapshot(snapshot);
     this.stateMachine.restore(snapshot.state);
     this.appliedIndex = snapshot.index;
@@ -115,8 +115,8 @@
   }
 
   /**
-   * Attaches to received entries what they name.
-   * @throws when that can't be had now; the entries must not go to the log then
+   * Adds the external data that received entries refer to.
+   * @throws if the data is unavailable; the entries must not be appended to the log then
    */
   async attachTo(entries: readonly LogEntry[]): Promise<readonly LogEntry[]> {
     const { external } = this.stateMachine;
@@ -134,7 +134,7 @@
     this.stateMachine.external?.noteLogged(entries);
   }
 
-  /** A member that holds nothing yet learns its group from the first entries. */
+  /** A member with an empty log learns the group's members from the first entries. */
   private knownConfiguration(entries: readonly LogEntry[]): GroupConfiguration {
     const { configuration } = this.group;
     if (configuration.members.length > 0) return configuration;
@@ -142,7 +142,7 @@
     return latest ? decodeConfiguration(latest.data) : configuration;
   }
 
-  /** Makes a snapshot soon that lets the whole log before it go. */
+  /** Requests a snapshot that allows the log to be compacted up to the applied index. */
   requestSnapshot(): void {
     if (this.isSnapshotting || this.appliedIndex <= this.group.log.compactedTo.index) return;
     this.makeSnapshot(this.appliedIndex);
@@ -185,7 +185,7 @@
     if (isDue) this.makeSnapshot(this.compactionIndex());
   }
 
-  /** The last entry that need not be kept for members that lag a little. */
+  /** Index up to which the log may be compacted, keeping entries for slightly lagging members. */
   private compactionIndex(): number {
     const { trailingEntries, trailingBytes } = this.environment.options;
     const { log } = this.group;
@@ -224,21 +224,22 @@
     this.finishSnapshot();
   }
 
-  /** What was applied meanwhile may be enough for the next one, and nothing more may be coming. */
+  /** Entries applied while the last snapshot was written may already require the next one. */
   private finishSnapshot(): void {
     this.isSnapshotting = false;
     if (!this.isStopped) this.makeSnapshotIfDue();
   }
 
-  /** What the snapshot names is made durable first: the entries that brought it go with it. */
+  /** Syncs external data first, because compaction removes the entries that carried it. */
   private async saveSnapshot(snapshot: SnapshotSource, compactTo: SnapshotMark): Promise<void> {
     await this.stateMachine.external?.sync();
     await this.group.log.saveSnapshot(snapshot, compactTo);
   }
 
-  /** Without room the log is kept as it is, and the snapshot stays due. */
+  /** On a full disk the log is kept and the snapshot is retried later. */
   private onSnapshotFailed(error: unknown, previous: SnapshotCounters): void {
-    // Stores are closed after their group: the log holds all that the snapshot would have held.
+    // Storage is closed after the group stops. The log still holds everything, so the error is
+    // ignored.
     if (this.isStopped) return;
     if (!(error instanceof StorageFullError)) {
       this.environment.onFatal(error);
--- a/src/consensus/commit-timings.ts
+++ b/src/consensus/commit-timings.ts
@@ -1,14 +1,14 @@
-/** Where the time of a command goes at a member, part by part, for its log. */
+/** Durations of the phases of a command on one member, for the load log. */
 import { DurationSummary } from '../observability/index.js';
 
 export interface CommitTimings {
-  /** A leader's commands: from their arrival to the log. */
+  /** Leader: from arrival of a command until it is appended to the log. */
   gate: DurationSummary;
-  /** From the log to the leader's own sync. */
+  /** Leader: from the append until the local sync. */
   ownSync: DurationSummary;
-  /** From the log to the end of applying, which needs a majority's syncs. */
+  /** Leader: from the append until the command is committed and applied. */
   commit: DurationSummary;
-  /** A follower's appends: from a received batch to its answer. */
+  /** Follower: from receipt of an append request until the response. */
   append: DurationSummary;
 }
 
--- a/src/consensus/commit-window.ts
+++ b/src/consensus/commit-window.ts
@@ -1,17 +1,14 @@
 /**
- * How many bytes of commands a leader has under way at a time: as many as the group commits within a
- * target. What is beyond that would only make all of it late, and be what the next leader inherits.
+ * Adaptive limit on the bytes of uncommitted commands of a leader. Bounds commit latency, and the
+ * backlog that a new leader takes over.
  */
 import { monotonicMs } from '../common/index.js';
 
-/**
- * Some large commands, or hundreds of small ones: fewer would leave links and disks idle between two
- * answers where the time goes into a slow sync and not into bytes.
- */
+/** A smaller window would leave links and disks idle when latency is dominated by slow syncs. */
 const MIN_WINDOW_BYTES = 128 * 1024;
 const INITIAL_WINDOW_BYTES = 512 * 1024;
 const MAX_WINDOW_BYTES = 8 * 1024 * 1024;
-/** What is left of the window when a commit took longer than the target. */
+/** Factor applied to the window when a commit exceeds the target latency. */
 const SHRINK_FACTOR = 0.7;
 
 export class CommitWindow {
@@ -19,14 +16,14 @@
   private inFlightBytes = 0;
   private shrunkAt = Number.NEGATIVE_INFINITY;
 
-  /** @param targetMs how long a command may take from the log to its commit, in milliseconds */
+  /** @param targetMs target latency from append to commit, in milliseconds */
   constructor(private readonly targetMs: number) {}
 
   get bytes(): number {
     return this.limitBytes;
   }
 
-  /** Whether a command may go to the log now; one alone always may. */
+  /** Whether a command fits the window. A single command is always admitted, whatever its size. */
   hasRoom(bytes: number): boolean {
     return this.inFlightBytes === 0 || this.inFlightBytes + bytes <= this.limitBytes;
   }
@@ -35,7 +32,7 @@
     this.inFlightBytes += bytes;
   }
 
-  /** A command was committed, `tookMs` after it went to the log. */
+  /** Records that a command was committed `tookMs` after its append. */
   noteCommitted(bytes: number, tookMs: number): void {
     const wasUsed = this.inFlightBytes > this.limitBytes / 2;
     this.inFlightBytes -= bytes;
@@ -45,12 +42,12 @@
     }
   }
 
-  /** Nothing is under way any more: leadership has ended. */
+  /** Resets the window when leadership ends. */
   clear(): void {
     this.inFlightBytes = 0;
   }
 
-  /** Once for all commands that were under way together. */
+  /** Shrinks at most once per target latency, so that commands in flight together count once. */
   private shrink(): void {
     const now = monotonicMs();
     if (now - this.shrunkAt < this.targetMs) return;
--- a/src/consensus/configuration.ts
+++ b/src/consensus/configuration.ts
@@ -4,9 +4,9 @@
 export type MemberRole = 'voter' | 'learner';
 
 export interface Member {
-  /** Identity of the member's data folder; a lost disk means a new identity. */
+  /** Identity of the member's data folder. A replaced disk gets a new identity. */
   id: string;
-  /** The operator's name of the machine; stays when the disk is replaced. */
+  /** Node name set by the operator. It stays the same when the disk is replaced. */
   name: string;
   /** `host:port` of the member's internal endpoint. */
   address: string;
@@ -39,14 +39,14 @@
   return findMember(configuration, id)?.role === 'voter';
 }
 
-/** How many voters make a majority. */
+/** Number of voters that form a majority. */
 export function quorumSize(configuration: GroupConfiguration): number {
   return Math.floor(votersOf(configuration).length / 2) + 1;
 }
 
 /**
  * The highest value that a majority of voters has reached.
- * @param valueOf the value of one voter, for example its match index
+ * @param valueOf returns the value of one voter, for example its match index
  */
 export function quorumValue(
   configuration: GroupConfiguration,
@@ -58,7 +58,7 @@
   return values[quorumSize(configuration) - 1] ?? Number.NEGATIVE_INFINITY;
 }
 
-/** Adds or replaces a member by its identity. */
+/** Adds a member, or replaces the one with the same id. */
 export function withMember(configuration: GroupConfiguration, member: Member): GroupConfiguration {
   return { members: [...withoutMember(configuration, member.id).members, member] };
 }
@@ -68,8 +68,8 @@
 }
 
 /**
- * A member's place in a group's first election, from 0 on: each group prefers another voter at start, so
- * that leaders are spread over the members.
+ * Zero-based rank of a member for the first election of a group. The preferred voter differs
+ * between groups, which spreads leaders over the members.
  */
 export function startupRank(
   configuration: GroupConfiguration,
@@ -86,8 +86,8 @@
 }
 
 /**
- * Whom a member asks for what it lacks, in this order: voters, so that two that lack much don't ask the same
- * one first; the leader behind them, since every commit waits on its link; learners last, which may lack it.
+ * Members from which missing data is fetched, in order of preference: voters in random order, then
+ * the leader, whose link is needed for commits, then learners, which may lack the data.
  */
 export function sourcesOf(
   configuration: GroupConfiguration,
--- a/src/consensus/consensus.test.ts
+++ b/src/consensus/consensus.test.ts
@@ -11,7 +11,7 @@
 import { StorageFullError } from '../log-store/index.js';
 
 const LIMITS = { timeoutMs: 10_000 };
-/** Nobody waits for an ordinary election time-out here. */
+/** Long election timeouts, so that an election only starts for another reason. */
 const SLOW_ELECTIONS = {
   heartbeatIntervalMs: 20,
   electionTimeoutMs: 20_000,
@@ -38,7 +38,7 @@
     }
   });
 
-  it('loses no acknowledged command when the leader dies', async () => {
+  it('loses no acknowledged command when the leader crashes', async () => {
     const cluster = await startCluster();
     await append(cluster, ['a', 'b']);
     const { member } = await cluster.waitLeader();
@@ -49,7 +49,7 @@
     expect(items).toContain('c');
   });
 
-  it('keeps everything over a restart of all members at once', async () => {
+  it('keeps all commands when all members restart at the same time', async () => {
     const cluster = await startCluster();
     await append(cluster, ['a', 'b', 'c']);
     const members = cluster.members.map(({ member }) => member);
@@ -58,7 +58,7 @@
     expect(await read(cluster)).toEqual(['a', 'b', 'c']);
   });
 
-  it('tells a restarted follower what is committed although nothing new comes', async () => {
+  it('sends the commit index to a restarted follower without new commands', async () => {
     const cluster = await startCluster();
     await append(cluster, ['a', 'b']);
     const leader = await cluster.waitLeader();
@@ -70,7 +70,7 @@
     expect(leader.group.isLeader).toBe(true);
   });
 
-  it('lets a leader that is cut off in silence commit nothing and answer no read', async () => {
+  it('neither commits nor serves reads on an isolated leader', async () => {
     const cluster = await startCluster();
     await append(cluster, ['a']);
     const old = await cluster.waitLeader();
@@ -90,7 +90,7 @@
     expect(old.machine.items).toEqual(['a', 'b']);
   });
 
-  it('steps down by its own clock before a majority may elect another leader', async () => {
+  it('steps down without a quorum before a majority may elect another leader', async () => {
     const cluster = await startCluster();
     const old = await cluster.waitLeader();
     cluster.network.isolate(old.member.address);
@@ -98,7 +98,7 @@
     await expect(old.group.propose(encodeValue('x'))).rejects.toBeInstanceOf(NotLeaderError);
   });
 
-  it('does not let a member that was cut off disturb the leader on its return', async () => {
+  it('keeps the leader when an isolated member returns', async () => {
     const cluster = await startCluster();
     const leader = await cluster.waitLeader();
     await append(cluster, ['a']);
@@ -106,8 +106,8 @@
     cluster.network.isolate(other.member.address);
     const { term } = leader.group;
     await append(cluster, ['b', 'c']);
-    // Several election times pass for the member that hears nobody.
-    await waitUntil('follower lost its leader', () => other.group.state !== 'leader');
+    // The isolated member passes several election timeouts.
+    await waitUntil('the follower to lose its leader', () => other.group.state !== 'leader');
     await new Promise((resolve) => setTimeout(resolve, 600));
     cluster.network.healAll();
     await waitUntil('caught up', () => other.machine.items.length === 3);
@@ -115,7 +115,7 @@
     expect(leader.group.isLeader).toBe(true);
   });
 
-  it('brings a lagging member up by a snapshot', async () => {
+  it('catches up a lagging member with a snapshot', async () => {
     const consensus = { snapshotEveryEntries: 20, trailingEntries: 5 };
     const cluster = await startCluster({ consensus });
     const leader = await cluster.waitLeader();
@@ -130,7 +130,7 @@
     expect(back.fatalErrors).toEqual([]);
   });
 
-  it('takes a member with a lost disk back only as a new one that holds the log', async () => {
+  it('readmits a member with a lost disk only as a new member that has caught up', async () => {
     const cluster = await startCluster();
     await append(cluster, ['a', 'b', 'c']);
     const leader = await cluster.waitLeader();
@@ -144,7 +144,7 @@
     const voters = cluster.leader!.group.configuration.members;
     expect(voters.map(({ id }) => id)).not.toContain(old.id);
     expect(voters).toHaveLength(3);
-    // The second failure right after the repair: the repaired member and one other carry on.
+    // A second failure right after the replacement leaves the new member and one other as majority.
     const third = cluster.members.find(
       ({ member }) => member.id !== leader.member.id && member.id !== replacement.id,
     )!;
@@ -153,7 +153,7 @@
     expect(await read(cluster)).toEqual(['a', 'b', 'c', 'd']);
   });
 
-  it('never answers messages meant for the identity that its folder had before', async () => {
+  it('rejects messages addressed to the identity of a lost data folder', async () => {
     const cluster = await startCluster();
     await append(cluster, ['a']);
     const leader = await cluster.waitLeader();
@@ -166,14 +166,14 @@
       ({ member }) => member.id !== leader.member.id && member.id !== replacement.id,
     )!;
     await cluster.crash(other.member.id);
-    // One member with its log and one without are no majority of three.
+    // One voter with its log and one with an empty disk are not a majority of three.
     await waitUntil('stepped down', () => !leader.group.isLeader);
     await new Promise((resolve) => setTimeout(resolve, 500));
     expect(cluster.leader).toBeUndefined();
     expect(back.group.term).toBe(0);
   });
 
-  it('hands leadership over on a planned stop', async () => {
+  it('transfers leadership before a planned stop', async () => {
     const cluster = await startCluster();
     await append(cluster, ['a']);
     const leader = await cluster.waitLeader();
@@ -182,7 +182,7 @@
     await append(cluster, ['b']);
   });
 
-  it('elects another leader soon after the connection of the old one has closed', async () => {
+  it('elects a new leader soon after the connection of the previous one has closed', async () => {
     const cluster = await startCluster({ consensus: SLOW_ELECTIONS });
     const old = await cluster.waitLeader();
     const others = cluster.members.filter(({ member }) => member.id !== old.member.id);
@@ -196,7 +196,7 @@
     expect(performance.now() - crashedAt).toBeLessThan(SLOW_ELECTIONS.electionTimeoutMs);
   });
 
-  it('keeps a leader whose connection broke but who is heard again', async () => {
+  it('keeps a leader that reconnects after its connection was lost', async () => {
     const cluster = await startCluster({ consensus: SLOW_ELECTIONS });
     const leader = await cluster.waitLeader();
     const { term } = leader.group;
@@ -209,7 +209,7 @@
     expect(leader.group.term).toBe(term);
   });
 
-  it('keeps a leader whose process stood still while answers to it were waiting', async () => {
+  it('keeps a leader whose process stalled while responses were waiting', async () => {
     const cluster = await startCluster();
     const leader = await cluster.waitLeader();
     await append(cluster, ['a']);
@@ -221,7 +221,7 @@
     expect(leader.group.term).toBe(term);
   });
 
-  it('elects at start by its own timer, not by the beat of its heartbeats', async () => {
+  it('runs the first election independently of the heartbeat interval', async () => {
     const consensus = { ...SLOW_ELECTIONS, heartbeatIntervalMs: 3_000 };
     const cluster = await startCluster({ consensus });
     const startedAt = performance.now();
@@ -229,7 +229,7 @@
     expect(performance.now() - startedAt).toBeLessThan(consensus.heartbeatIntervalMs);
   });
 
-  it('holds entries in no more memory than they need, on the leader and on followers', async () => {
+  it('does not keep larger buffers in memory than the entries need', async () => {
     const cluster = await startCluster({ consensus: { snapshotEveryEntries: 100_000 } });
     await append(cluster, ['x'.repeat(500_000)]);
     for (let index = 0; index < 200; index += 1) await append(cluster, ['y'.repeat(6_000)]);
@@ -242,7 +242,7 @@
     }
   });
 
-  it('refuses new commands when the disk is full, and loses nothing', async () => {
+  it('rejects new commands when the quota is used up, and loses nothing', async () => {
     const cluster = await startCluster({ quotaBytes: 24 * 1024 });
     await append(cluster, ['first']);
     const leader = await cluster.waitLeader();
--- a/src/consensus/election-timer.test.ts
+++ b/src/consensus/election-timer.test.ts
@@ -18,7 +18,7 @@
 });
 
 describe('election timer', () => {
-  it('fires once at its deadline, and again only when it is set again', () => {
+  it('fires once at its deadline, and again only after it is set again', () => {
     timer.setIn(50);
     vi.advanceTimersByTime(49);
     expect(fired).toBe(0);
@@ -29,7 +29,7 @@
     expect(fired).toBe(2);
   });
 
-  it('can be put off for as long as a leader is heard', () => {
+  it('can be postponed repeatedly', () => {
     timer.setIn(50);
     for (let round = 0; round < 20; round += 1) {
       vi.advanceTimersByTime(40);
@@ -40,7 +40,7 @@
     expect(fired).toBe(1);
   });
 
-  it('is brought forward, but never put off, by a sign that the leader is gone', () => {
+  it('bringForwardTo moves the deadline forward, but never back', () => {
     timer.setIn(500);
     timer.bringForwardTo(100);
     vi.advanceTimersByTime(110);
@@ -51,7 +51,7 @@
     expect(fired).toBe(2);
   });
 
-  it('does not fire after its end', () => {
+  it('does not fire after it is stopped', () => {
     timer.setIn(50);
     timer.stop();
     vi.advanceTimersByTime(100);
--- a/src/consensus/election-timer.ts
+++ b/src/consensus/election-timer.ts
@@ -1,6 +1,6 @@
 /**
- * The time at which a member may start an election. Putting it off costs nothing: the timer is armed
- * again only when it goes off too early.
+ * Timer for the start of an election. Postponing the deadline is cheap: the underlying timer is
+ * rearmed only when it fires early.
  */
 import { monotonicMs } from '../common/index.js';
 
@@ -10,16 +10,16 @@
   private armedFor = Number.POSITIVE_INFINITY;
   private isStopped = false;
 
-  /** @param onDue called at the deadline; the next one has to be set by `setIn` */
+  /** @param onDue called at the deadline; call `setIn` to set the next one */
   constructor(private readonly onDue: () => void) {}
 
-  /** Sets the deadline, whatever it was before. */
+  /** Sets the deadline, replacing the previous one. */
   setIn(milliseconds: number): void {
     this.deadline = monotonicMs() + milliseconds;
     if (this.armedFor > this.deadline) this.arm();
   }
 
-  /** Sets the deadline unless an earlier one stands. */
+  /** Moves the deadline forward; a deadline that is already earlier is kept. */
   bringForwardTo(milliseconds: number): void {
     if (monotonicMs() + milliseconds < this.deadline) this.setIn(milliseconds);
   }
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -1,4 +1,4 @@
-/** One election: first a pre-vote that disturbs nobody, then the vote itself. */
+/** Runs an election: a pre-vote that does not change terms, then the vote. */
 import { quorumSize, votersOf } from './configuration.js';
 import { VOTE } from './messages.js';
 import type { GroupEnvironment, ReplicatedGroup } from './replicated-group.js';
@@ -11,7 +11,7 @@
   isTransfer: boolean;
 }
 
-/** Runs an election from beginning to end; the group leads afterwards if it was won. */
+/** Runs one election. The group becomes leader if it wins. */
 export async function runElection(
   group: ReplicatedGroup,
   environment: GroupEnvironment,
@@ -56,7 +56,7 @@
         if (response.term > group.term) group.onHigherTerm(response.term);
         if (response.granted) granted += 1;
       } catch {
-        // An unreachable voter grants nothing.
+        // An unreachable voter counts as not granted.
       }
       pending -= 1;
       resolveIfDecided();
--- a/src/consensus/errors.ts
+++ b/src/consensus/errors.ts
@@ -1,7 +1,7 @@
 import { type ErrorContext, LedgegaugeError } from '../common/index.js';
 import type { LeaderRefusal } from './leader-refusal.js';
 
-/** This member does not lead the group. `leaderAddress` is where to ask instead, when known. */
+/** This member is not the leader of the group. `leaderAddress` is the known leader, if any. */
 export class NotLeaderError extends LedgegaugeError {
   constructor(
     group: string,
@@ -11,34 +11,39 @@
   }
 }
 
-/** Leadership ended before the command's fate was known: it may or may not be committed. */
+/** Leadership ended before the outcome was known; the command may or may not be committed. */
 export class CommitUnknownError extends LedgegaugeError {
   constructor(group: string) {
-    super(`leadership of ${group} ended first`, { step: 'consensus.commit', retriable: true });
+    super(`leadership of ${group} ended before the outcome was known`, {
+      step: 'consensus.commit',
+      retriable: true,
+    });
   }
 }
 
-/** The group's leader could not be reached in time; a command may or may not have been committed. */
+/**
+ * The group's leader could not be reached in time. The command may or may not have been committed.
+ */
 export class GroupUnavailableError extends LedgegaugeError {}
 
-/** The group's leader answered, and refused what it was asked until the caller's time was over. */
+/** The group's leader rejected the request until the caller's timeout expired. */
 export class LeaderRefusedError extends GroupUnavailableError {
   constructor(
     readonly leader: string,
     readonly refusal: LeaderRefusal,
     context: ErrorContext,
   ) {
-    super(`${leader} leads and refused: ${refusal.error}: ${refusal.message}`, context);
+    super(`${leader} rejected the request: ${refusal.error}: ${refusal.message}`, context);
   }
 }
 
-/** A message for another member identity arrived here, for example for one whose disk was lost. */
+/** A message was addressed to another member identity, for example one whose disk was replaced. */
 export class WrongMemberError extends LedgegaugeError {}
 
-/** A membership change is refused, for example because another one is under way. */
+/** A membership change was rejected, for example because another one is in progress. */
 export class MembershipChangeError extends LedgegaugeError {}
 
-/** The leader has more commands than the group commits in time; this one was not taken. */
+/** The leader has more commands than the group commits in time. The command was not accepted. */
 export class GroupOverloadedError extends LedgegaugeError {
   constructor(group: string) {
     super(`${group} is overloaded`, { step: 'consensus.propose', retriable: true });
--- a/src/consensus/external-state.test.ts
+++ b/src/consensus/external-state.test.ts
@@ -1,4 +1,4 @@
-/** Groups whose snapshots name data that they do not contain, and logs that are bounded in bytes. */
+/** Snapshots that refer to external data, and logs bounded in bytes. */
 import { describe, expect, it } from 'vitest';
 import {
   type ConsensusCluster,
@@ -16,7 +16,7 @@
 const ITEM_BYTES = 100;
 const CONSENSUS = { snapshotEveryBytes: 2_000, trailingBytes: 500 };
 
-/** Counts what it is asked for; each answer can be held up or made to fail. */
+/** External state whose operations can be delayed or made to fail. Counts the fetches. */
 class ScriptedExternalState implements ExternalState {
   room: Promise<void> = Promise.resolve();
   synced: () => Promise<void> = () => Promise.resolve();
@@ -71,7 +71,7 @@
 }
 
 describe('a log that is bounded in bytes', () => {
-  it('makes snapshots by bytes and keeps few bytes behind them', async () => {
+  it('creates snapshots by size and keeps few bytes before them', async () => {
     const cluster = await startCluster({ consensus: CONSENSUS });
     await appendItems(cluster, 100);
     for (const { group } of cluster.members) {
@@ -81,7 +81,7 @@
     expect(cluster.members.flatMap(({ fatalErrors }) => fatalErrors)).toEqual([]);
   });
 
-  it('counts what it holds over truncations and compactions', async () => {
+  it('counts held bytes correctly over truncations and compactions', async () => {
     const cluster = await startCluster({ consensus: CONSENSUS });
     await appendItems(cluster, 70);
     for (const { group } of cluster.members) {
@@ -94,26 +94,26 @@
     }
   });
 
-  it('takes no commands while too much is held, says that nothing was taken, and goes on', async () => {
+  it('rejects commands above the memory limit, and accepts them again later', async () => {
     const { cluster, externalOf } = await startScripted({ maxHeldBytes: 5_000 });
     const leader = await cluster.waitLeader();
     const disk = new Deferred<void>();
     for (const { member } of cluster.members) externalOf(member.id).synced = () => disk.promise;
     await appendItems(cluster, 45);
-    await waitUntil('too much held', () => leader.group.log.heldBytes >= 4_500);
+    await waitUntil('memory limit reached', () => leader.group.log.heldBytes >= 4_500);
     const big = encodeValue('x'.repeat(1_000));
     await leader.group.propose(big);
     await expect(leader.group.propose(big)).rejects.toBeInstanceOf(StorageFullError);
     expect(leader.group.isLeader).toBe(true);
     disk.resolve();
-    await waitUntil('let go', () => leader.group.log.heldBytes < 4_000);
+    await waitUntil('entries released', () => leader.group.log.heldBytes < 4_000);
     await leader.group.propose(big);
     expect(leader.machine.items).toHaveLength(47);
   });
 });
 
 describe('external state', () => {
-  it('is durable before a snapshot that names it lets entries go', async () => {
+  it('is synced before a snapshot that refers to it allows compaction', async () => {
     const { cluster, externalOf } = await startScripted();
     const leader = await cluster.waitLeader();
     const external = externalOf(leader.member.id);
@@ -126,7 +126,7 @@
     await waitUntil('compacted', () => leader.group.log.compactedTo.index > 0);
   });
 
-  it('on a full disk costs the snapshot and not the process', async () => {
+  it('on a full disk fails the snapshot but not the process', async () => {
     const { cluster, externalOf } = await startScripted();
     const leader = await cluster.waitLeader();
     const external = externalOf(leader.member.id);
@@ -141,7 +141,7 @@
     expect(leader.fatalErrors).toEqual([]);
   });
 
-  it('holds commands up while there is no room for what they bring', async () => {
+  it('delays commands while there is no memory for their data', async () => {
     const { cluster, externalOf } = await startScripted();
     await cluster.waitLeader();
     const follower = cluster.members.find(({ group }) => !group.isLeader)!;
@@ -154,7 +154,7 @@
     await waitUntil('applied', () => follower.machine.items.length === 5);
   });
 
-  it('is fetched before a snapshot is installed, again until it is there', async () => {
+  it('is fetched before a snapshot is installed, with retries', async () => {
     const { cluster, externalOf } = await startScripted();
     await cluster.waitLeader();
     const follower = cluster.members.find(({ group }) => !group.isLeader)!;
@@ -172,7 +172,7 @@
     expect(restarted.fatalErrors).toEqual([]);
   });
 
-  it('that takes long is not fetched twice at a time', async () => {
+  it('is not fetched concurrently for the same snapshot', async () => {
     const { cluster, externalOf } = await startScripted();
     const leader = await cluster.waitLeader();
     const follower = cluster.members.find(({ group }) => !group.isLeader)!;
--- a/src/consensus/failing-members.test.ts
+++ b/src/consensus/failing-members.test.ts
@@ -1,7 +1,6 @@
 /**
- * After all members had lost power, each gateway stood still for 1.9 to 2.3 s, all of them at once, until the time of
- * their questions was over ("process.stalled"): two members' connections had failed in one moment, the second failure
- * ended the pause after the first, and the next member failed before that one was read, and so on.
+ * Regression test: when several members failed together, the client retried without a pause and
+ * kept the event loop busy until the request timed out.
  */
 import { expect, it } from 'vitest';
 import { sleep } from '../common/index.js';
@@ -10,13 +9,13 @@
 import type { PeerCaller } from './peer-directory.js';
 
 const ASK = defineMethod<object, object>('test.ask');
-/** When the open questions fail; members that are asked later fail at once, in milliseconds. */
+/** Pending requests fail at this time, in milliseconds; later requests fail immediately. */
 const LOST_AFTER_MS = 120;
 const LIMITS = { timeoutMs: 1_000, tryTimeoutMs: 40 };
-/** Two while all were silent, and one every 10 to 50 ms since. */
+/** Initial requests, plus one for every retry pause of 10 to 50 ms. */
 const MAX_REQUESTS = 45;
 
-it('members that all fail are asked with pauses', async () => {
+it('pauses between attempts when all members fail', async () => {
   let requests = 0;
   const startedAt = performance.now();
   const peers: PeerCaller = {
--- a/src/consensus/follower-request-handler.ts
+++ b/src/consensus/follower-request-handler.ts
@@ -1,4 +1,4 @@
-/** How a member answers the messages of candidates and leaders. */
+/** Handles the requests that candidates and leaders send to a member. */
 import { monotonicMs } from '../common/index.js';
 import { StorageFullError, type LogEntry } from '../log-store/index.js';
 import { decodeConfiguration, isVoter } from './configuration.js';
@@ -16,24 +16,24 @@
 import type { GroupEnvironment, ReplicatedGroup } from './replicated-group.js';
 
 /**
- * A follower holds more than its leader would take: entries before its own latest snapshot, and all
- * those up to the first of a new leader, without which nothing commits.
+ * A follower accepts more uncompacted bytes than a leader: entries before its own latest snapshot,
+ * and all entries up to the first one of a new leader, without which nothing commits.
  */
 const FOLLOWER_MEMORY_FACTOR = 3;
 
 interface IncomingSnapshot {
   index: number;
   from: string;
-  /** The whole state, of which the first `received` bytes are there. */
+  /** The complete state; the first `received` bytes have arrived. */
   state: Buffer;
   received: number;
 }
 
 export class FollowerRequestHandler {
-  /** Whether any leader was heard since this process has been a member. */
+  /** Whether a leader has contacted this member since the process started. */
   hasSeenLeader = false;
   private leaderContactAt = Number.NEGATIVE_INFINITY;
-  /** Up to here the log is known to match the log of the leader of this term. */
+  /** Last index at which the log is known to match that of the leader of `matchedTerm`. */
   private matchedIndex = 0;
   private matchedTerm = 0;
   private incoming: IncomingSnapshot | undefined;
@@ -69,7 +69,7 @@
     if (request.term < group.term) return this.rejectAppend(0);
     this.followLeader(request.term, request.from);
     const entries = await group.applier.attachTo(request.entries);
-    // Another leader may have been followed meanwhile.
+    // A new leader may have been accepted while attachments were fetched.
     if (request.term < group.term) return this.rejectAppend(0);
     const { log } = group;
     const compacted = log.compactedTo.index;
@@ -86,7 +86,7 @@
       const rejection = await this.appendEntries(newEntries);
       if (rejection) return rejection;
     }
-    // A leader repeats what was not answered in time; those entries are held, but maybe not synced.
+    // Entries of a repeated request are already in the log, but may not be synced yet.
     await log.waitEntriesDurable();
     await group.waitTermDurable();
     if (group.term === term) this.noteMatched(term, matched, request.commitIndex);
@@ -104,7 +104,7 @@
     if (knowsMatch) {
       group.advanceCommit(Math.min(heartbeat.commitIndex, this.matchedIndex));
     }
-    // Taken before the wait, as the term is: in a later one they would tell of another leader's log.
+    // Read before the wait together with the term: later values may describe another leader's log.
     const { term } = group;
     const { matchedIndex: matchIndex } = this;
     await group.waitTermDurable();
@@ -123,7 +123,8 @@
         configuration: request.configuration,
         state: completeState,
       };
-      // A start that finds a snapshot and an empty log takes the log for lost.
+      // Recovery treats a snapshot without a term as a lost log, so the term has to be durable
+      // first.
       if (group.log.lastIndex === 0) await group.waitTermDurable();
       await group.applier.install(snapshot, decodeConfiguration(request.latestConfiguration));
     }
@@ -138,12 +139,12 @@
     return true;
   }
 
-  /** What was heard of the leader no longer keeps this member from voting for another. */
+  /** Clears the last leader contact, so that this member may vote for another candidate. */
   forgetLeader(): void {
     this.leaderContactAt = Number.NEGATIVE_INFINITY;
   }
 
-  /** Whether a leader was heard so lately that an election would only disturb it. */
+  /** Whether the leader made contact within the election timeout. */
   private hasRecentLeaderContact(): boolean {
     if (this.group.isLeader) return true;
     return monotonicMs() - this.leaderContactAt < this.environment.options.electionTimeoutMs;
@@ -169,7 +170,9 @@
     const { group } = this;
     const first = newEntries[0]!;
     if (first.index <= group.commitIndex) {
-      this.environment.onFatal(new Error(`${group.name}: leader rewrites committed entries`));
+      this.environment.onFatal(
+        new Error(`${group.name}: leader tried to overwrite committed entries`),
+      );
       return this.rejectAppend(0);
     }
     if (group.log.heldBytes >= FOLLOWER_MEMORY_FACTOR * this.environment.options.maxHeldBytes) {
@@ -200,7 +203,7 @@
     return { term: this.group.term, success: false, matchIndex, isFull: false };
   }
 
-  /** Skips back over the whole term that conflicts, so that few round trips find the match. */
+  /** Skips all entries of the conflicting term, which reduces the round trips to find the match. */
   private lastPlausibleMatch(request: AppendRequest): number {
     const { log } = this.group;
     let index = Math.min(log.lastIndex, request.previousIndex - 1);
--- a/src/consensus/full-disk.test.ts
+++ b/src/consensus/full-disk.test.ts
@@ -1,4 +1,4 @@
-/** A group of which one member's disk fills up. */
+/** The disk of one member fills up. */
 import { describe, expect, it } from 'vitest';
 import { GROUP, startCluster } from '../../tests/support/consensus-cluster.js';
 import { waitUntil } from '../../tests/support/wait-until.js';
@@ -6,7 +6,7 @@
 const CALL = { timeoutMs: 5_000 };
 
 describe('a disk that fills up', () => {
-  it('makes its leader hand over; it follows again once there is room', async () => {
+  it('makes the leader transfer leadership and catch up once there is space', async () => {
     const cluster = await startCluster();
     const first = await cluster.waitLeader();
     const client = cluster.client();
--- a/src/consensus/group-client.test.ts
+++ b/src/consensus/group-client.test.ts
@@ -1,4 +1,4 @@
-/** How the leader of a group is looked for: whom a client asks, how often, and what it takes. */
+/** Leader search of the group client: order of members, number of requests, and pauses. */
 import { describe, expect, it } from 'vitest';
 import { sleep } from '../common/index.js';
 import { type Method, defineMethod } from '../wire/index.js';
@@ -11,7 +11,7 @@
 const LEADER_DELAY_MS = 520;
 const LIMITS = { timeoutMs: 1_500, tryTimeoutMs: 250 };
 
-/** Answers as each member is told to, and counts who was asked. */
+/** Responds as scripted for each member, and counts the requests. */
 class ScriptedPeers implements PeerCaller {
   readonly asked = new Map<string, number>();
 
@@ -38,7 +38,7 @@
 }
 
 describe('a client of a group', () => {
-  it('takes the answer of a late leader, which it asks once, and asks others beside it', async () => {
+  it('accepts a late response of the leader, which it asks once, and asks others in parallel', async () => {
     const peers = new ScriptedPeers({
       leader: () => sleep(LEADER_DELAY_MS).then(() => ({ response: 'late' })),
       follower: redirectsTo('leader'),
@@ -48,7 +48,7 @@
     expect(peers.asked.get('follower')).toBeGreaterThan(0);
   });
 
-  it('hears of the next leader while the one before owes an answer', async () => {
+  it('finds the next leader while the previous one has not responded', async () => {
     let hint = 'old';
     const peers = new ScriptedPeers({
       old: () => new Promise(() => undefined),
@@ -58,19 +58,19 @@
     setTimeout(() => (hint = 'next'), LEADER_DELAY_MS);
     const startedAt = performance.now();
     expect(await ask(peers, ['old', 'follower'])).toBe('next');
-    // Members are asked every 50 ms at least, though each points at the one that owes an answer.
+    // Members are retried at least every 50 ms, even if each one refers to the unresponsive member.
     expect(performance.now() - startedAt).toBeLessThan(LEADER_DELAY_MS + 100);
   });
 
-  it('pauses between members that point at each other', async () => {
+  it('pauses between members that redirect to each other', async () => {
     const peers = new ScriptedPeers({ a: redirectsTo('b'), b: redirectsTo('a') });
     await expect(ask(peers, ['a', 'b'])).rejects.toThrow('not the leader');
     const asked = [...peers.asked.values()].reduce((sum, count) => sum + count, 0);
-    // Two hints a pause, and pauses of 25 ms at least but for the first ones.
+    // At most two redirects per pause; after the first ones a pause takes at least 25 ms.
     expect(asked).toBeLessThan((3 * LIMITS.timeoutMs) / 25);
   });
 
-  it('asks members as soon as it is told of them', async () => {
+  it('uses new member addresses immediately', async () => {
     const peers = new ScriptedPeers({ leader: () => Promise.resolve({ response: 'here' }) });
     const client = new GroupClient({ peers, addresses: [] });
     setTimeout(() => client.setAddresses(['leader']), 50);
--- a/src/consensus/group-client.ts
+++ b/src/consensus/group-client.ts
@@ -1,9 +1,9 @@
 /**
- * Reaches the leaders of replicated groups from any process: remembers who leads, follows hints,
- * and asks other members beside one that takes long. A member that has been asked is not asked again
- * while its answer is outstanding, and the answer counts however late it is: a leader that is behind
- * would otherwise do the same work again and again, and none of it in time. Commands may reach the log
- * twice when an answer is lost, so they must be idempotent.
+ * Sends requests to the leaders of replicated groups from any process. Remembers the leader,
+ * follows redirects, and asks other members in parallel if a response is late. A member with a
+ * pending request is not asked again, and its response counts however late it is; otherwise an
+ * overloaded leader would repeat the same work without finishing any in time. Commands must be
+ * idempotent: they may be logged twice if a response is lost.
  */
 import { Backoff, monotonicMs } from '../common/index.js';
 import { type CallOptions, type Method, decodeValue, encodeValue } from '../wire/index.js';
@@ -22,28 +22,28 @@
 
 export interface GroupClientOptions {
   peers: PeerCaller;
-  /** Addresses of members to begin with. */
+  /** Initial member addresses. */
   addresses: string[];
-  /** How long one member may take before others are asked as well, in milliseconds. @default 700 */
+  /** Time after which other members are asked in parallel, in milliseconds. @default 700 */
   tryTimeoutMs?: number;
 }
 
 export interface GroupCallOptions {
-  /** How long to try in all, in milliseconds. */
+  /** Timeout of the whole call, in milliseconds. */
   timeoutMs: number;
   /**
-   * How long one member may take before others are asked as well, in milliseconds. @default the
-   * client's
+   * Time after which other members are asked in parallel, in milliseconds. @default the client's
+   * setting
    */
   tryTimeoutMs?: number;
-  /** Longest pause between two members that are asked, in milliseconds. @default 50 */
+  /** Maximum pause between two attempts, in milliseconds. @default 50 */
   maximumPauseMs?: number;
 }
 
-/** The member that was the last to answer as a group's leader. */
+/** The member that last responded as leader of a group. */
 export interface HeardLeader {
   address: string;
-  /** How long ago it did, in milliseconds. */
+  /** Time since that response, in milliseconds. */
   ageMs: number;
 }
 
@@ -53,12 +53,12 @@
 
 export class GroupClient {
   private readonly leaders = new Map<string, string>();
-  /** Leaders that have answered, by group, also where they may lead no more. */
+  /** Latest member that responded as leader, by group, whether or not it still leads. */
   private readonly lastResponders = new Map<string, { address: string; atMs: number }>();
   private readonly tryTimeoutMs: number;
   private addresses: string[];
   private nextAddress = 0;
-  /** When a member was last called as any of them (monotonic, milliseconds). */
+  /** Time of the last `callAnyMember` request to each address (monotonic, milliseconds). */
   private readonly calledAt = new Map<string, number>();
 
   constructor(private readonly options: GroupClientOptions) {
@@ -66,12 +66,12 @@
     this.addresses = options.addresses;
   }
 
-  /** Replaces the addresses of members; a leader that is known stays the first to be asked. */
+  /** Replaces the member addresses. A known leader is still tried first. */
   setAddresses(addresses: string[]): void {
     this.addresses = addresses;
   }
 
-  /** Who answered last as the leader of a group, whether or not it still leads. */
+  /** The member that last responded as leader of a group, whether or not it still leads. */
   lastHeardLeader(group: string): HeardLeader | undefined {
     const responder = this.lastResponders.get(group);
     return responder && { address: responder.address, ageMs: monotonicMs() - responder.atMs };
@@ -92,9 +92,9 @@
   }
 
   /**
-   * Calls any method at the group's leader.
-   * @param read tells a result from a redirect to another member
-   * @throws LeaderRefusedError when the leader refused it until the time was over
+   * Calls a method on the group's leader.
+   * @param read converts a response into a result, a rejection or a redirect
+   * @throws LeaderRefusedError if the leader rejected the request until the timeout
    * @throws GroupUnavailableError when no leader answered in time
    */
   callWithRedirect<Request, Response, Result>(
@@ -110,9 +110,9 @@
   }
 
   /**
-   * Calls a method that every member answers: another one each time, the one that leads only where there is
-   * no other.
-   * @throws LinkError, TimeoutError, RemoteError when that member doesn't answer
+   * Calls a method that every member serves. Rotates through the members, and uses the leader only
+   * if there is no other.
+   * @throws LinkError, TimeoutError, RemoteError if the call to that member fails
    */
   async callAnyMember<Request, Response>(
     group: string,
@@ -179,9 +179,9 @@
       else this.noteLeader(group, rejectingLeader);
       hints.notePause();
       waitMs = Math.min(backoff.nextDelayMs(), Math.max(0, deadline - monotonicMs()));
-      // While some are overdue, the pause is the wait for them.
+      // Without an outcome, waiting for the pending attempts serves as the pause.
       if (outcome) await attempts.pause(waitMs, (next) => hints.endsPause(next));
-      // Others have nothing to add to what the leader says.
+      // While the leader rejects the request, other members cannot help.
       address = rejectingLeader ?? this.nextAvailable(attempts);
       if (rejectingLeader !== undefined) waitMs = tryTimeoutMs;
     }
@@ -193,12 +193,12 @@
     this.lastResponders.set(group, { address, atMs: monotonicMs() });
   }
 
-  /** The next member that may be asked, a connected one if there is any. */
+  /** Next member without a pending request, preferably a connected one. */
   private nextAvailable(attempts: PendingAttempts<unknown>): string | undefined {
     return this.nextInRotation(this.addresses.filter((address) => !attempts.has(address)));
   }
 
-  /** Nobody is called twice before all have been: one that is silent would hold the others up again and again. */
+  /** The least recently called member, so that an unresponsive one is not called repeatedly. */
   private leastRecentlyCalled(addresses: readonly string[]): string | undefined {
     const connected = addresses.filter((address) => this.options.peers.isConnected(address));
     const candidates = connected.length > 0 ? connected : addresses;
@@ -206,7 +206,7 @@
     return [...candidates].sort((left, right) => calledAt(left) - calledAt(right))[0];
   }
 
-  /** One of some members in turn, a connected one if there is any. */
+  /** Next address in round-robin order, preferably a connected one. */
   private nextInRotation(addresses: readonly string[]): string | undefined {
     if (addresses.length === 0) return undefined;
     const first = this.nextAddress++ % addresses.length;
@@ -220,5 +220,9 @@
 }
 
 function noAddressError(step: string, group: string): GroupUnavailableError {
-  return new GroupUnavailableError('no member is known', { step, peer: group, retriable: true });
+  return new GroupUnavailableError('no member address is known', {
+    step,
+    peer: group,
+    retriable: true,
+  });
 }
--- a/src/consensus/group-host.ts
+++ b/src/consensus/group-host.ts
@@ -1,6 +1,6 @@
 /**
- * All replicated groups of one process. Heartbeats of all groups to the same peer travel in one
- * message, and all groups share one link for each peer and one write-ahead log.
+ * Hosts all replicated groups of a process. Heartbeats for the same member are sent in one message,
+ * and all groups share one link per peer and one write-ahead log.
  */
 import { type Logger } from '../observability/index.js';
 import { monotonicMs } from '../common/index.js';
@@ -22,27 +22,27 @@
   snapshots: SnapshotStore;
   peers: PeerCaller;
   /**
-   * Connections of their own for heartbeats and votes: behind appends on a full link they would be
-   * late, and the leader would be taken for gone. @default peers
+   * Separate connections for heartbeats and votes, which would otherwise be delayed by large
+   * appends and trigger elections. @default peers
    */
   urgentPeers?: PeerCaller;
   options: CheckedConsensusOptions;
   logger: Logger;
   onFatal: (error: unknown) => void;
-  /** Called when a group on this process starts or stops leading. */
+  /** Called when a group in this process gains or loses leadership. */
   onLeadershipChange: (group: ReplicatedGroup) => void;
 }
 
-/** Heartbeats of all groups that this process leads and one member belongs to. */
+/** Heartbeats from groups led by this process to one member. */
 interface MemberHeartbeats {
   address: string;
   heartbeats: Heartbeat[];
 }
 
-/** Messages that are small and must not wait behind entries. */
+/** Small messages that must not be queued behind entries. */
 const URGENT_METHODS: ReadonlySet<string> = new Set([HEARTBEATS.name, VOTE.name, TRANSFER.name]);
 
-/** A peer that is silent for so long is connected to anew, in milliseconds. */
+/** Timeout of a heartbeat request, after which the link is checked for silence. */
 const HEARTBEAT_TIMEOUT_MS = 400;
 
 export class GroupHost {
@@ -71,7 +71,7 @@
     };
   }
 
-  /** Opens a group from what the data folder holds of it. */
+  /** Opens a group from the data folder. */
   async openGroup(name: string, stateMachine: StateMachine): Promise<ReplicatedGroup> {
     const log = await MemberLog.open(name, this.host.wal, this.host.snapshots);
     const group = new ReplicatedGroup(log, stateMachine, this.environment);
@@ -79,7 +79,7 @@
     return group;
   }
 
-  /** Founds a group; every founding member must be given the same configuration. */
+  /** Initializes the log of a new group. All founding members must use the same configuration. */
   async bootstrapGroup(name: string, configuration: GroupConfiguration): Promise<void> {
     const log = await MemberLog.open(name, this.host.wal, this.host.snapshots);
     if (log.lastIndex === 0) await log.bootstrap(configuration);
@@ -97,7 +97,7 @@
     this.timer = setInterval(() => this.tick(), this.host.options.heartbeatIntervalMs);
   }
 
-  /** Hands over all leaderships, then stops. */
+  /** Transfers all leaderships, then stops. */
   async stop(): Promise<void> {
     await Promise.all(this.all().map((group) => group.transferLeadership()));
     this.stopNow();
@@ -108,7 +108,7 @@
     for (const group of this.all()) group.stop();
   }
 
-  /** A connection that a peer had opened to this process has closed. */
+  /** Called when a connection opened by a peer has closed. */
   notePeerDisconnected(peerName: string): void {
     for (const group of this.groups.values()) {
       if (group.leaderName !== peerName) continue;
@@ -117,7 +117,7 @@
     }
   }
 
-  /** Registers the handlers of the messages between members. */
+  /** Registers the handlers for messages between members. */
   registerHandlers(router: MethodRouter): void {
     router.handle(VOTE, (request) => this.targetGroup(request).requestHandler.vote(request));
     router.handle(APPEND, async (request) => {
@@ -155,7 +155,7 @@
   private targetGroup(message: { group: string; to: string }): ReplicatedGroup {
     const group = this.groups.get(message.group);
     if (!group || message.to !== this.host.ownId) {
-      throw new WrongMemberError('message is for another member', {
+      throw new WrongMemberError('message is addressed to another member', {
         step: 'consensus.receive',
         peer: message.to,
       });
@@ -183,12 +183,15 @@
     }
   }
 
-  /** A candidate whose connections are yet to be opened would lose its first election to that. */
+  /**
+   * Keeps links to all voters open: an election fails if its connections have yet to be
+   * established.
+   */
   private keepVotersConnected(): void {
     for (const { configuration } of this.groups.values()) {
       if (!isVoter(configuration, this.host.ownId)) continue;
       for (const { id, address } of votersOf(configuration)) {
-        // To ask is to open the link if there is none.
+        // The check opens a missing link.
         if (id !== this.host.ownId) this.urgentPeers.isConnected(address);
       }
     }
@@ -204,8 +207,8 @@
   }
 
   /**
-   * One message a member, not an address: where a member came back without its disk both identities have the
-   * same address, and an answer of the new one must not count for the old.
+   * Batches by member id, not address: a member that lost its disk and its replacement share an
+   * address, and a response of the new member must not count for the old one.
    */
   private sendHeartbeats(): void {
     const batches = new Map<string, MemberHeartbeats>();
@@ -234,7 +237,7 @@
         this.groups.get(response.group)?.takeHeartbeatResponse(heartbeat.to, response, sentAt);
       }
     } catch {
-      // Silence is what check quorum looks at.
+      // Missing responses are detected by the quorum check.
     }
   }
 
--- a/src/consensus/group-messages.ts
+++ b/src/consensus/group-messages.ts
@@ -1,15 +1,15 @@
-/** How users of a replicated group, in any process, reach its leader. */
+/** Messages between clients of a replicated group and its leader. */
 import { defineMethod } from '../wire/index.js';
 import type { Rejection } from './leader-refusal.js';
 
 export interface GroupRequest {
   group: string;
-  /** An encoded command or query; its meaning is the state machine's. */
+  /** Encoded command or query; the format is defined by the state machine. */
   body: Uint8Array;
 }
 
 export interface GroupResponse extends Rejection {
-  /** The encoded result; absent when this member could not answer as the leader. */
+  /** Encoded result; absent if this member could not execute the request as leader. */
   body?: Uint8Array;
 }
 
--- a/src/consensus/group-service.ts
+++ b/src/consensus/group-service.ts
@@ -1,4 +1,4 @@
-/** Serves commands and linearizable reads of the groups that this process leads. */
+/** Serves commands and linearizable reads for the groups led by this process. */
 import { type MethodRouter, encodeValue } from '../wire/index.js';
 import type { GroupHost } from './group-host.js';
 import { EXECUTE, type GroupResponse, QUERY } from './group-messages.js';
@@ -6,9 +6,9 @@
 import type { ReplicatedGroup } from './replicated-group.js';
 
 export interface GroupServiceHooks {
-  /** Completes a command on the leader before it is replicated, for example with a time stamp. */
+  /** Completes a command on the leader before replication, for example with a timestamp. */
   prepareCommand(group: ReplicatedGroup, body: Uint8Array): Uint8Array;
-  /** Answers a query from the group's state. */
+  /** Executes a query against the group's state. */
   answerQuery(group: ReplicatedGroup, body: Uint8Array): unknown;
 }
 
@@ -34,7 +34,7 @@
   work: (group: ReplicatedGroup) => Promise<unknown>,
 ): Promise<GroupResponse> {
   const group = host.find(name);
-  if (!group) return { refusal: `no member of ${name} here` };
+  if (!group) return { refusal: `no member of group ${name} in this process` };
   try {
     return { body: encodeValue(await work(group)) };
   } catch (error) {
--- a/src/consensus/index.ts
+++ b/src/consensus/index.ts
@@ -1,4 +1,6 @@
-/** Replicated groups: a log agreed on by a quorum, applied to a state machine on every member. */
+/**
+ * Replicated groups: a log agreed on by a quorum and applied to a state machine on every member.
+ */
 export * from './configuration.js';
 export * from './errors.js';
 export { GroupHost, type GroupHostOptions } from './group-host.js';
--- a/src/consensus/leader-calls.ts
+++ b/src/consensus/leader-calls.ts
@@ -1,19 +1,19 @@
-/** Calls of typed methods that only the leader of a group answers: both sides of them. */
+/** Client and server side of typed methods that only the leader of a group serves. */
 import type { Method } from '../wire/index.js';
 import type { GroupCallOptions, GroupClient } from './group-client.js';
 import { type Rejection, createRejection } from './leader-refusal.js';
 import { rejectionResult } from './open-tries.js';
 import type { ReplicatedGroup } from './replicated-group.js';
 
-/** The leader's answer, or where the leader may be. */
+/** The leader's response, or a rejection with the known leader address. */
 export interface LeaderAnswer<Answer> extends Rejection {
   answer?: Answer;
 }
 
 /**
- * Calls a method at the group's leader.
- * @throws LeaderRefusedError when the leader refused it until the time was over
- * @throws GroupUnavailableError when no leader answered in time; the call may have had its effect
+ * Calls a method on the group's leader.
+ * @throws LeaderRefusedError if the leader rejected the request until the timeout
+ * @throws GroupUnavailableError when no leader answered in time; the call may have taken effect
  */
 export function callLeader<Request, Answer>(
   client: GroupClient,
@@ -32,14 +32,15 @@
   );
 }
 
-/** Runs `work` on the leader; anything else is answered with where the leader may be. */
+/** Runs `work` if this member is the leader, and responds with a rejection otherwise. */
 export async function answerAsLeader<Answer>(
   group: ReplicatedGroup | undefined,
   work: (group: ReplicatedGroup) => Promise<Answer>,
 ): Promise<LeaderAnswer<Answer>> {
-  if (!group) return { refusal: 'not started' };
+  if (!group) return { refusal: 'group is not started on this member' };
   if (!group.isLeader) return { leaderAddress: group.leaderAddress, refusal: 'not the leader' };
-  if (!group.isCurrentLeader) return { refusal: 'leading, but not current yet' };
+  if (!group.isCurrentLeader)
+    return { refusal: 'leader has not applied all committed entries yet' };
   try {
     return { answer: await work(group) };
   } catch (error) {
--- a/src/consensus/leader-hints.ts
+++ b/src/consensus/leader-hints.ts
@@ -1,19 +1,21 @@
-/** Whom the answers of members, in one call, point at as the leader. */
+/** Follows the leader hints in the responses to one call. */
 import type { PendingAttempts, AttemptOutcome } from './open-tries.js';
 
 export class LeaderHints {
-  /** Hints followed since the last pause: two members may point at each other. */
+  /**
+   * Hints followed since the last pause. Prevents loops between members that refer to each other.
+   */
   private readonly followed = new Set<string>();
-  /** The member that owes an answer and that another one has pointed at. */
+  /** A member with a pending request that another member named as leader. */
   private awaitedLeader: string | undefined;
 
   constructor(private readonly attempts: PendingAttempts<unknown>) {}
 
-  /** The member to ask at once on account of an answer, if there is one. */
+  /** The member to ask immediately because of a response, if any. */
   follow(outcome: AttemptOutcome<unknown>): string | undefined {
     const hint = this.hintOf(outcome);
     if (hint === undefined) return undefined;
-    // A hint at a member that owes an answer is old: who leads next is known soon, so it is asked for.
+    // The named member has not responded and may no longer lead, so other members are asked.
     if (this.attempts.has(hint)) {
       this.awaitedLeader = hint;
       return undefined;
@@ -23,7 +25,7 @@
     return hint;
   }
 
-  /** Whether an answer that comes during a pause is worth reading at once. */
+  /** Whether an outcome during a pause should be processed immediately. */
   endsPause(outcome: AttemptOutcome<unknown>): boolean {
     return 'response' in outcome || 'refused' in outcome || this.isAwaitedLost(outcome);
   }
@@ -32,7 +34,10 @@
     this.followed.clear();
   }
 
-  /** An awaited leader whose connection was lost is asked again itself: the link is mostly up already. */
+  /**
+   * The hinted leader's address. If the connection to that leader was lost, it is asked again at
+   * once, since the link usually has been re-established.
+   */
   private hintOf(outcome: AttemptOutcome<unknown>): string | undefined {
     if ('leaderAddress' in outcome && outcome.leaderAddress !== undefined) {
       return outcome.leaderAddress;
--- a/src/consensus/leader-refusal.test.ts
+++ b/src/consensus/leader-refusal.test.ts
@@ -1,7 +1,6 @@
 /**
- * A leader refused a command, since it had more than the group commits in time. Its client took that for a member that
- * does not lead: it forgot the leader, asked the others too, and told its caller what the last of them had said, "no
- * leader answered: not the leader", so that nobody could see from the log why the command was refused.
+ * Regression test: a client treated a rejection by an overloaded leader as a redirect, asked the
+ * other members as well, and reported "no leader answered" instead of the rejection.
  */
 import { describe, expect, it } from 'vitest';
 import { describeError } from '../common/index.js';
@@ -17,10 +16,10 @@
 const LEADER = 'member-1';
 const MEMBERS = [LEADER, 'member-2', 'member-3'];
 const LIMITS = { timeoutMs: 1_000, tryTimeoutMs: 250 };
-/** When a leader that is overloaded for a while takes commands again, in milliseconds. */
+/** Time after which the leader accepts commands again, in milliseconds. */
 const OVERLOAD_MS = 300;
 
-/** Members of which the first leads, and refuses while it is overloaded. */
+/** Group members; the leader rejects requests while it is overloaded. */
 class Members implements PeerCaller {
   isOverloaded = true;
   leader = LEADER;
@@ -47,8 +46,8 @@
   return callLeader(client, GROUP, ASK, {}, LIMITS);
 }
 
-describe("a leader's refusal", () => {
-  it('is what the caller is told, whatever other members say', async () => {
+describe("a leader's rejection", () => {
+  it('is reported to the caller, whatever other members respond', async () => {
     const error = await ask(new Members()).catch((reason: unknown) => reason);
     expect(error).toBeInstanceOf(GroupUnavailableError);
     expect(describeError(error)).toContain(`${GROUP} is overloaded`);
@@ -56,7 +55,7 @@
     expect(describeError(error)).not.toContain('no leader');
   });
 
-  it('does not send the client to members that do not lead', async () => {
+  it('does not make the client ask members that do not lead', async () => {
     const members = new Members();
     await ask(members).catch(() => undefined);
     expect(members.asked.get('member-2') ?? 0).toBeLessThanOrEqual(1);
@@ -64,13 +63,13 @@
     expect(members.asked.get(LEADER)).toBeGreaterThan(1);
   });
 
-  it('is over once the leader takes commands again', async () => {
+  it('ends when the leader accepts commands again', async () => {
     const members = new Members();
     setTimeout(() => (members.isOverloaded = false), OVERLOAD_MS);
     expect(await ask(members)).toBe(`done by ${LEADER}`);
   });
 
-  it('holds no longer than its lead does', async () => {
+  it('is ignored after a change of leader', async () => {
     const members = new Members();
     setTimeout(() => (members.leader = 'member-3'), OVERLOAD_MS / 2);
     setTimeout(() => (members.isOverloaded = false), OVERLOAD_MS);
--- a/src/consensus/leader-refusal.ts
+++ b/src/consensus/leader-refusal.ts
@@ -1,28 +1,31 @@
-/** How a leader's refusal crosses the wire, as against a member that does not lead. */
+/**
+ * Wire format of rejections, which distinguishes a leader that rejects from a member that does not
+ * lead.
+ */
 import { LedgegaugeError } from '../common/index.js';
 import { CommitUnknownError, NotLeaderError } from './errors.js';
 import type { ReplicatedGroup } from './replicated-group.js';
 
-/** Why a leader did not do what it was asked; no other member can do it. */
+/** Reason why the leader rejected a request. Other members cannot execute it either. */
 export interface LeaderRefusal {
-  /** Name of the error's class. */
+  /** Class name of the error. */
   error: string;
   message: string;
 }
 
-/** In place of an answer. */
+/** Response of a member that did not execute the request. */
 export interface Rejection {
-  /** Where the leader may be. */
+  /** Address of the known leader. */
   leaderAddress?: string;
-  /** Why this member can't answer as the leader. */
+  /** Reason why this member cannot act as leader. */
   refusal?: string;
-  /** Present when this member leads and refuses. */
+  /** Set if this member is the leader and rejects the request. */
   refused?: LeaderRefusal;
 }
 
 /**
- * What a client is told of an error that arose in a leader's work.
- * @throws the error itself when trying again can't help
+ * Converts an error on the leader into a rejection for the client.
+ * @throws the error itself if a retry cannot succeed
  */
 export function createRejection(group: ReplicatedGroup, error: unknown): Rejection {
   if (error instanceof NotLeaderError) {
--- a/src/consensus/leader-search-failure.ts
+++ b/src/consensus/leader-search-failure.ts
@@ -1,4 +1,4 @@
-/** Why the members that one call has asked gave no answer, for the error that its caller gets. */
+/** Collects the reasons why a call found no leader, for the error reported to the caller. */
 import { GroupUnavailableError, LeaderRefusedError } from './errors.js';
 import type { LeaderRefusal } from './leader-refusal.js';
 import type { AttemptOutcome } from './open-tries.js';
@@ -11,8 +11,10 @@
 }
 
 export class LeaderSearchFailure {
-  private latestReason = 'no member asked';
-  /** Stands until that member says something else: what members say that don't lead is no reason. */
+  private latestReason = 'no member was asked';
+  /**
+   * Kept until the same member responds differently; responses of non-leaders do not replace it.
+   */
   private rejectingLeader: RejectingLeader | undefined;
 
   note(outcome: FailedOutcome): void {
--- a/src/consensus/leadership-transfer.ts
+++ b/src/consensus/leadership-transfer.ts
@@ -1,4 +1,4 @@
-/** Hands leadership to the voter that is furthest along, for a planned stop. */
+/** Transfers leadership to the most up-to-date voter before a planned stop. */
 import { monotonicMs, sleep } from '../common/index.js';
 import { votersOf } from './configuration.js';
 import { TRANSFER } from './messages.js';
@@ -9,7 +9,10 @@
 const TRANSFER_POLL_MS = 20;
 const TRANSFER_CALL_TIMEOUT_MS = 500;
 
-/** @returns whether a follower that holds the whole log was asked to start an election, and will */
+/**
+ * @returns whether an up-to-date follower has agreed to start an election, or this member no longer
+ *   leads
+ */
 export async function transferLeadership(
   group: ReplicatedGroup,
   replicators: ReadonlyMap<string, Replicator>,
--- a/src/consensus/learner-relays.test.ts
+++ b/src/consensus/learner-relays.test.ts
@@ -1,4 +1,4 @@
-/** Learners are brought on by voters, and by the leader where those can't. */
+/** Learners receive entries from voters, and from the leader if their relay fails. */
 import { describe, expect, it } from 'vitest';
 import {
   type ConsensusCluster,
@@ -52,7 +52,7 @@
 }
 
 describe('learners', () => {
-  it('get what is committed from voters, and the leader sends it to voters only', async () => {
+  it('receive committed entries from voters, and the leader sends entries to voters only', async () => {
     const { cluster, leader, learners } = await startWithLearners();
     const before = leader.group.traffic.learnerEntries;
     await append(cluster, 'load', COMMANDS);
@@ -68,7 +68,7 @@
     expect(Math.max(...held)).toBeLessThanOrEqual(leader.group.log.lastIndex);
   });
 
-  it('get it from the leader when the voter that they fall to is gone', async () => {
+  it('receive entries from the leader when their relay has crashed', async () => {
     const { cluster, leader, learners } = await startWithLearners();
     await cluster.crash(relayFor(leader, learners[0]!));
     await append(cluster, 'load', COMMANDS);
@@ -76,7 +76,7 @@
     expect(leader.group.traffic.learnerEntries).toBeGreaterThan(0);
   });
 
-  it('follow the next leader, and hold nothing that it does not', async () => {
+  it('follow the next leader and hold no other entries', async () => {
     const { cluster, leader, learners } = await startWithLearners();
     const lost = leader.member.address;
     cluster.network.isolate(lost);
@@ -92,7 +92,7 @@
   });
 });
 
-describe('the voter that a learner falls to', () => {
+describe('the relay of a learner', () => {
   const member = (id: string, role: Member['role']): Member => ({
     id,
     name: id,
@@ -102,7 +102,7 @@
   const voters = ['a', 'b', 'c'].map((id) => member(id, 'voter'));
   const learners = ['l1', 'l2', 'l3'].map((id) => member(id, 'learner'));
 
-  it('is the same whatever the order of members, and never the leader', () => {
+  it('does not depend on the order of members, and is never the leader', () => {
     const configuration: GroupConfiguration = { members: [...voters, ...learners] };
     const reordered: GroupConfiguration = { members: [...learners, ...voters].reverse() };
     const relays = learners.map(({ id }) => relayOf(configuration, 'b', id)?.id);
@@ -110,7 +110,7 @@
     expect(learners.map(({ id }) => relayOf(reordered, 'b', id)?.id)).toEqual(relays);
   });
 
-  it('is nobody for a voter, and where the leader is the only one', () => {
+  it('is undefined for a voter, and if the leader is the only voter', () => {
     expect(relayOf({ members: [...voters, ...learners] }, 'b', 'a')).toBeUndefined();
     expect(relayOf({ members: [voters[0]!, ...learners] }, 'a', 'l1')).toBeUndefined();
   });
--- a/src/consensus/learner-relays.ts
+++ b/src/consensus/learner-relays.ts
@@ -1,9 +1,9 @@
 /**
- * A voter's tasks beside following: it sends committed entries on to the learners that fall to it, so that
- * the leader's link, on which every commit waits, carries each entry to voters only.
+ * Replication from voters to learners. Each voter relays committed entries to the learners assigned
+ * to it, so that the leader, whose link limits commits, sends entries to voters only.
  *
- * What is committed is in the log of every leader of this term and later ones. So it may be sent in the
- * name of the leader that this member follows, as that leader would send it.
+ * Committed entries are in the log of every leader of this and later terms. A relay can therefore
+ * send them on behalf of the current leader.
  */
 import type { LogEntry } from '../log-store/index.js';
 import type { CallOptions, Method } from '../wire/index.js';
@@ -12,7 +12,7 @@
 import type { ReplicationTraffic } from './replication-traffic.js';
 import { type ReplicatedLog, type ReplicationSource, Replicator } from './replicator.js';
 
-/** What the tasks need of their member. */
+/** What relays need from their member. */
 export interface RelayingMember {
   readonly group: string;
   readonly ownId: string;
@@ -32,7 +32,9 @@
   ): Promise<Response>;
 }
 
-/** The voter that sends entries on to a learner, the same for all members that know the configuration. */
+/**
+ * The voter that relays entries to a learner. All members with the same configuration agree on it.
+ */
 export function relayOf(
   configuration: GroupConfiguration,
   leaderId: string,
@@ -53,7 +55,10 @@
 
   constructor(private readonly member: RelayingMember) {}
 
-  /** Begins and ends tasks as leader and configuration ask for; call it at every heartbeat interval. */
+  /**
+   * Starts and stops relays to match the leader and the configuration. Called at every heartbeat
+   * interval.
+   */
   update(): void {
     const { member } = this;
     const { leaderId, term } = member;
@@ -76,7 +81,7 @@
     }
   }
 
-  /** More is committed. */
+  /** Called when the commit index has advanced. */
   notify(): void {
     for (const relay of this.relays.values()) relay.notify();
   }
@@ -102,10 +107,10 @@
   onHigherTerm: () => void;
 }
 
-/** A member's committed entries, in the name of the leader that it follows. */
+/** Replication source for the committed entries of a member, on behalf of its leader. */
 class RelaySource implements ReplicationSource {
   readonly isOverloaded = false;
-  /** Two members that send snapshots at the same time would each break off the other's. */
+  /** Concurrent snapshot transfers from two members would abort each other. */
   readonly sendsSnapshots = false;
   readonly log: ReplicatedLog;
 
@@ -163,7 +168,7 @@
   }
 
   onFollowerProgress(): void {
-    // The learner's own answers to heartbeats tell the leader.
+    // The leader learns the progress from the learner's heartbeat responses.
   }
 
   onHigherTerm(): void {
@@ -171,15 +176,17 @@
   }
 }
 
-/** A log up to what is committed: what follows may still be replaced. */
+/** View of a log up to the commit index; later entries may still be replaced. */
 class CommittedLog implements ReplicatedLog {
-  /** @param isCurrent whether the leader in whose name entries are sent is still followed */
+  /**
+   * @param isCurrent whether the member still follows the leader on whose behalf entries are sent
+   */
   constructor(
     private readonly member: RelayingMember,
     private readonly isCurrent: () => boolean,
   ) {}
 
-  /** What a later leader commits must not go out in the name of this one. */
+  /** Entries committed by a later leader must not be sent on behalf of this one. */
   get lastIndex(): number {
     return this.isCurrent() ? this.member.commitIndex : 0;
   }
--- a/src/consensus/learner.test.ts
+++ b/src/consensus/learner.test.ts
@@ -1,4 +1,4 @@
-/** Members that hold the log but do not count for commits. */
+/** Members that replicate the log without counting for commits. */
 import { describe, expect, it } from 'vitest';
 import {
   type ConsensusCluster,
@@ -36,7 +36,7 @@
 }
 
 describe('a learner', () => {
-  it('gets entries together, once a heartbeat, while each voter gets them at once', async () => {
+  it('receives entries in batches once per heartbeat, while voters receive them at once', async () => {
     const { cluster, learner } = await clusterWithLearner();
     await append(cluster, 10);
     await waitUntil('caught up', () => learner.machine.items.length === 10);
@@ -54,13 +54,13 @@
     await waitUntil('holds all', () => learner.machine.items.length === 110);
   });
 
-  it('that is made a voter counts from then on, without a pause', async () => {
+  it('counts for commits without a pause after promotion to voter', async () => {
     const { cluster, learner } = await clusterWithLearner();
     await append(cluster, 10);
     const leader = await cluster.waitLeader();
     await waitUntil('caught up', () => learner.machine.items.length === 10);
     await leader.group.addMember({ ...learner.member, role: 'voter' });
-    // Three of four voters are needed now: with one gone, the former learner decides.
+    // With one of four voters down, commits depend on the former learner.
     const gone = cluster.members.find(
       ({ group, member }) => !group.isLeader && member.id !== learner.member.id,
     )!;
--- a/src/consensus/lost-append-responses.test.ts
+++ b/src/consensus/lost-append-responses.test.ts
@@ -1,8 +1,6 @@
 /**
- * Appends were stored, and their answers were lost with their connections; the next heartbeats said how far the
- * followers' logs match. Leaders took that for what needs no sending any more, but did not count it for commits:
- * one command was still open after 4 s, a new leader stayed "leading, but not current yet", and one whose window for
- * commands was full refused 60 of 60 that followed, with its lead and term unchanged.
+ * Regression test: followers stored entries, but the responses were lost with the connection. The
+ * leader learned the match index from heartbeats, but did not advance the commit index.
  */
 import { beforeEach, describe, expect, it, vi } from 'vitest';
 import { GROUP, startCluster } from '../../tests/support/consensus-cluster.js';
@@ -18,12 +16,14 @@
 
 beforeEach(() => simulateTime(1));
 
-/** Until a connection is found silent, in milliseconds; a heartbeat passes on another one meanwhile. */
+/**
+ * Time until the lost connection is detected, in milliseconds; heartbeats use another connection.
+ */
 const DETECTION_MS = 60;
-/** Well above what a commit takes here, in milliseconds. */
+/** Upper bound for a commit, in milliseconds. */
 const COMMITTED_WITHIN_MS = 1_500;
 
-/** Loses the answers to some appends. */
+/** Drops the responses to selected append requests. */
 class ResponseLosingNetwork extends LoopbackNetwork {
   loses: (request: AppendRequest) => boolean = () => false;
 
@@ -50,8 +50,8 @@
   return { cluster, leader };
 }
 
-describe('a leader that loses the answers to its appends', () => {
-  it('commits what its followers hold', async () => {
+describe('a leader that loses the responses to its appends', () => {
+  it('commits entries that its followers hold', async () => {
     const network = new ResponseLosingNetwork();
     const { group } = (await startGroup(network)).leader;
     const lostIndex = group.log.lastIndex + 1;
@@ -62,7 +62,7 @@
     await waitUntil('committed', () => isCommitted, COMMITTED_WITHIN_MS);
   });
 
-  it('becomes current when that happens to its first entry', async () => {
+  it('commits the first entry of its term', async () => {
     const network = new ResponseLosingNetwork();
     const { cluster, leader } = await startGroup(network);
     const { term } = leader.group;
@@ -78,7 +78,7 @@
     await waitUntil('current', () => group.isCurrentLeader, COMMITTED_WITHIN_MS);
   });
 
-  it('takes commands again after a moment of it under load', async () => {
+  it('accepts commands again after losing responses under load', async () => {
     const network = new ResponseLosingNetwork();
     const { group } = (await startGroup(network)).leader;
     const until = performance.now() + 500;
--- a/src/consensus/lost-request.test.ts
+++ b/src/consensus/lost-request.test.ts
@@ -1,7 +1,6 @@
 /**
- * The connection to a leader was lost with a question on it, and a new one was there at once; yet the
- * question went out again only 150 to 300 ms later. The failure waited for the end of a pause between
- * members, and then for another pause and a member that pointed at the same leader once more.
+ * Regression test: after a connection was lost with a pending request, the client waited for the
+ * retry pause although the link was up again.
  */
 import { expect, it } from 'vitest';
 import { sleep } from '../common/index.js';
@@ -11,13 +10,13 @@
 import type { PeerCaller } from './peer-directory.js';
 
 const ASK = defineMethod<object, TryResult<string>>('test.ask');
-/** Within a pause, whose end must not be waited for. */
+/** Falls within a retry pause. */
 const LOST_AFTER_MS = 700;
 const LIMITS = { timeoutMs: 5_000, tryTimeoutMs: 250, maximumPauseMs: 2_000 };
-/** Far under a pause, which lasts 1 s at least after the first few. */
+/** Much shorter than a retry pause, which takes at least 1 s after the first few. */
 const RETRY_WITHIN_MS = 150;
 
-/** A leader whose first question is lost with its connection, and a member that points at it. */
+/** A leader that loses the first request with its connection, and a member that redirects to it. */
 class LosingPeers implements PeerCaller {
   leaderRequests = 0;
 
@@ -41,7 +40,7 @@
   return { leaderAddress: 'leader', refusal: 'not the leader' };
 }
 
-it('a question that was lost with its connection is asked again at once', async () => {
+it('repeats a request immediately after its connection was lost', async () => {
   const peers = new LosingPeers();
   const client = new GroupClient({ peers, addresses: ['leader', 'follower'] });
   const startedAt = performance.now();
--- a/src/consensus/member-log.ts
+++ b/src/consensus/member-log.ts
@@ -1,6 +1,6 @@
 /**
- * One member's copy of a group's log: entries, votes, configurations and the latest snapshot, kept
- * in the shared write-ahead log and the snapshot store.
+ * The log of one group on this member: entries, votes, configurations and the latest snapshot,
+ * stored in the shared write-ahead log and the snapshot store.
  */
 import {
   DamagedLogError,
@@ -33,21 +33,26 @@
 export class MemberLog {
   private readonly state: GroupLogState;
   private configurations: ConfigurationAt[] = [];
-  /** The latest write of entries; the log is written in order, so those before it are synced too. */
+  /**
+   * The latest write of entries. Writes complete in order, so earlier entries are synced as well.
+   */
   private entriesWritten: Promise<void> = Promise.resolve();
 
   private constructor(
     readonly group: string,
     private readonly wal: WriteAheadLog,
     private readonly snapshots: SnapshotStore,
-    /** The snapshot that a restarted state machine begins from. */
+    /** The snapshot from which the state machine is restored at startup. */
     readonly latestSnapshot: StoredSnapshot | undefined,
   ) {
     this.state = wal.group(group);
     this.rebuildConfigurations(latestSnapshot);
   }
 
-  /** @throws DamagedLogError when the log was compacted but its snapshot is gone, or the other way round */
+  /**
+   * @throws DamagedLogError if the log or the snapshot is missing although the other one requires
+   *   it
+   */
   static async open(
     group: string,
     wal: WriteAheadLog,
@@ -56,7 +61,7 @@
     const snapshot = await snapshots.read(group);
     const compactedTo = wal.group(group).snapshot.index;
     if (compactedTo > (snapshot?.index ?? 0)) {
-      throw new DamagedLogError(`snapshot behind index ${compactedTo} is missing`, {
+      throw new DamagedLogError(`snapshot up to index ${compactedTo} is missing`, {
         step: 'consensus.open',
         peer: group,
       });
@@ -66,11 +71,13 @@
     return log;
   }
 
-  /** @throws DamagedLogError when the log is gone: its term and vote were durable before any snapshot */
+  /**
+   * @throws DamagedLogError if the log is empty; term and vote are always durable before a snapshot
+   */
   private async alignWithSnapshot(snapshot: StoredSnapshot): Promise<void> {
     if (this.containsSnapshot(snapshot)) return;
     if (this.hardState.term === 0) {
-      throw new DamagedLogError('the log is gone but its snapshot is not', {
+      throw new DamagedLogError('the log is missing, but its snapshot exists', {
         step: 'consensus.open',
         peer: this.group,
       });
@@ -79,8 +86,8 @@
   }
 
   /**
-   * Whether the log reaches a snapshot: it does not where the process before was killed between storing its
-   * leader's snapshot and letting the log go.
+   * Whether the log contains the snapshot's last entry. It does not if the process was killed
+   * between storing the leader's snapshot and replacing the log.
    */
   private containsSnapshot({ index, term }: SnapshotMark): boolean {
     return this.state.termAt(index) === term;
@@ -102,7 +109,7 @@
     return this.state.snapshot;
   }
 
-  /** Bytes of the entries that are held in memory. */
+  /** Bytes of the entries held in memory. */
   get heldBytes(): number {
     return this.state.heldBytes;
   }
@@ -112,7 +119,7 @@
     return this.configurations.at(-1)?.configuration ?? EMPTY_CONFIGURATION;
   }
 
-  /** Index of the entry that holds the latest configuration. */
+  /** Index of the entry with the latest configuration. */
   get configurationIndex(): number {
     return this.configurations.at(-1)?.index ?? 0;
   }
@@ -129,7 +136,7 @@
     return this.state.slice(fromIndex, maximumBytes);
   }
 
-  /** Writes the first entry of a new group; every founding member writes the same. */
+  /** Writes the first entry of a new group. All founding members write the same entry. */
   async bootstrap(configuration: GroupConfiguration): Promise<void> {
     const data = encodeConfiguration(configuration);
     const entry: LogEntry = { index: 1, term: BOOTSTRAP_TERM, kind: 'configuration', data };
@@ -148,8 +155,8 @@
   }
 
   /**
-   * Appends entries, cutting off what conflicts with them; resolves when they are synced.
-   * @throws StorageFullError (synchronously) when there is no room; nothing changed then
+   * Appends entries after removing conflicting ones. Resolves when they are synced.
+   * @throws StorageFullError (synchronously) if there is no space; nothing has changed then
    */
   append(received: LogEntry[]): Promise<void> {
     const entries = received.map(withCopiedData);
@@ -169,7 +176,8 @@
   }
 
   /**
-   * Hands over what a start found attached to entries behind an index; it is held no longer.
+   * Returns the recovered entries after an index with their attachments, and releases all
+   * attachments.
    * @returns copies of the entries
    */
   takeAttached(afterIndex: number): LogEntry[] {
@@ -179,23 +187,23 @@
     return found;
   }
 
-  /** Resolves when every entry that is held is synced, also those of earlier calls of `append`. */
+  /** Resolves when all appended entries are synced, including those of earlier calls. */
   waitEntriesDurable(): Promise<void> {
     return this.entriesWritten;
   }
 
-  /** Makes a snapshot durable, then drops the entries up to `compactTo`. */
+  /** Stores a snapshot durably, then removes the entries up to `compactTo`. */
   async saveSnapshot(snapshot: SnapshotSource, compactTo: SnapshotMark): Promise<void> {
     await this.snapshots.write(this.group, snapshot);
     await this.wal.append([{ kind: 'snapshot', group: this.group, mark: compactTo }]);
   }
 
-  /** Makes a snapshot from the leader durable, before the log gives way to it. */
+  /** Stores a snapshot from the leader durably, before it replaces the log. */
   storeSnapshot({ state, ...head }: StoredSnapshot): Promise<void> {
     return this.snapshots.write(this.group, { ...head, pieces: [state] });
   }
 
-  /** Lets a stored snapshot take the place of the log up to its index. */
+  /** Replaces the log up to the snapshot's index by the stored snapshot. */
   adoptSnapshot(snapshot: StoredSnapshot): Promise<void> {
     const mark: SnapshotMark = { index: snapshot.index, term: snapshot.term };
     const written = this.wal.append([{ kind: 'snapshot', group: this.group, mark }]);
@@ -203,12 +211,12 @@
     return written;
   }
 
-  /** Begins to read the stored snapshot piece by piece; the caller closes the reader. */
+  /** Opens the stored snapshot for reading in chunks. The caller must close the reader. */
   openSnapshot(): Promise<SnapshotReader | undefined> {
     return this.snapshots.open(this.group);
   }
 
-  /** The configuration in force at `index`. */
+  /** The configuration in effect at `index`. */
   configurationAt(index: number): GroupConfiguration {
     const known = this.configurations.filter((entry) => entry.index <= index);
     return known.at(-1)?.configuration ?? EMPTY_CONFIGURATION;
@@ -241,7 +249,7 @@
   }
 }
 
-/** What is on disk with an entry is held elsewhere in memory, if at all. */
+/** Attachments are written to disk with the entry and not kept in memory here. */
 function dropAttachments(entry: LogEntry): void {
   if (!entry.attachments) return;
   entry.attachedBytes = entry.attachments.reduce((sum, { length }) => sum + length, 0);
@@ -249,8 +257,7 @@
 }
 
 /**
- * Entries stay in memory for long, but come as views of buffers that hold much else: the encoder's,
- * of which a leader fills many with messages to its followers, or a received frame.
+ * Copies the data: decoded entries are views of large shared buffers, which they would keep alive.
  */
 function withCopiedData(entry: LogEntry): LogEntry {
   return { ...entry, data: new Uint8Array(entry.data) };
--- a/src/consensus/membership-changer.ts
+++ b/src/consensus/membership-changer.ts
@@ -1,18 +1,18 @@
 /**
- * Takes a member with a new data folder into a group: first as a learner, then, once it holds the
- * log, in place of the member that had its name before. The steps are repeated by the joiner until
- * it is a voter, so that a change of leader in between loses nothing.
+ * Adds a member with a new data folder to a group: first as a learner and, once it has caught up,
+ * as a voter in place of the previous member with the same name. The joining member repeats its
+ * request until it is a voter, so a change of leader does not interrupt the process.
  */
 import { type Member, findMember, votersOf } from './configuration.js';
 import { MembershipChangeError } from './errors.js';
 import type { ReplicatedGroup } from './replicated-group.js';
 
-/** How many entries a learner may lack when it is made a voter. */
+/** Maximum number of missing entries for promotion of a learner. */
 const CAUGHT_UP_LAG = 64;
 
 export class MembershipChanger {
   /**
-   * Takes the next step for `member`.
+   * Performs the next step for `member`.
    * @returns whether the member is a voter now
    */
   async advanceJoin(group: ReplicatedGroup, member: Member): Promise<boolean> {
@@ -37,7 +37,7 @@
   private requireCaughtUp(group: ReplicatedGroup, member: Member): void {
     const lag = group.log.lastIndex - group.matchIndexOf(member.id);
     if (lag <= CAUGHT_UP_LAG) return;
-    throw new MembershipChangeError(`member lacks ${lag} entries`, {
+    throw new MembershipChangeError(`member is ${lag} entries behind the leader`, {
       step: 'consensus.join',
       peer: member.name,
       retriable: true,
--- a/src/consensus/messages.ts
+++ b/src/consensus/messages.ts
@@ -3,10 +3,10 @@
 import { defineMethod } from '../wire/index.js';
 import type { Member } from './configuration.js';
 
-/** What every message between members starts with. */
+/** Fields common to all messages between members. */
 interface GroupMessage {
   group: string;
-  /** Identity of the member the message is meant for. */
+  /** Identity of the receiver. */
   to: string;
   /** Identity of the sender. */
   from: string;
@@ -16,9 +16,9 @@
 export interface VoteRequest extends GroupMessage {
   lastIndex: number;
   lastTerm: number;
-  /** A pre-vote asks whether a vote would be granted and changes nothing. */
+  /** A pre-vote asks whether a vote would be granted, without changing any state. */
   isPreVote: boolean;
-  /** The leader asked for this election, so its being alive is no reason to refuse. */
+  /** The leader requested this election, so voters grant it despite recent leader contact. */
   isTransfer: boolean;
 }
 
@@ -37,9 +37,9 @@
 export interface AppendResponse {
   term: number;
   success: boolean;
-  /** On success the last index known to match; else where the leader should try next, minus one. */
+  /** On success, the last index known to match; otherwise the index before the next one to try. */
   matchIndex: number;
-  /** The member's data folder, or its memory, has no room for entries. */
+  /** The member's disk or memory has no space for entries. */
   isFull: boolean;
 }
 
@@ -51,7 +51,7 @@
   commitIndex: number;
 }
 
-/** Heartbeats of all groups that the sender leads and the receiver belongs to. */
+/** Heartbeats from the groups led by the sender to one receiver. */
 export interface HeartbeatBatch {
   heartbeats: Heartbeat[];
 }
@@ -60,20 +60,22 @@
   group: string;
   term: number;
   accepted: boolean;
-  /** Whether the member knows how far its log matches the leader's; a restarted one does not. */
+  /** Whether the member knows its match index; unknown after a restart. */
   knowsMatch: boolean;
-  /** How far it matches then; entries up to there are synced. */
+  /** Last index known to match the leader's log; entries up to it are synced. */
   matchIndex: number;
 }
 
 export interface SnapshotChunk extends GroupMessage {
   mark: SnapshotMark;
   configuration: Uint8Array;
-  /** The group's members as the leader knows them: those of the snapshot may all have been replaced. */
+  /**
+   * Current configuration of the leader; all members in the snapshot's one may have been replaced.
+   */
   latestConfiguration: Uint8Array;
-  /** Bytes of the whole state. */
+  /** Size of the complete state, in bytes. */
   stateBytes: number;
-  /** Where in the state the chunk belongs. */
+  /** Position of the chunk in the state. */
   offset: number;
   chunk: Uint8Array;
 }
@@ -83,17 +85,17 @@
   accepted: boolean;
 }
 
-/** Asks a member that holds the whole log to start an election at once. */
+/** Asks an up-to-date member to start an election immediately. */
 export type TransferRequest = GroupMessage;
 
-/** A member with a new data folder asks the leader to be taken in. */
+/** Request of a member with a new data folder to join a group. */
 export interface JoinRequest {
   group: string;
   member: Member;
 }
 
 export interface JoinResponse {
-  /** Whether the answering member leads the group; if not, nothing was done. */
+  /** Whether the responding member leads the group; if not, the request had no effect. */
   leads: boolean;
   leaderAddress?: string;
   /** Whether the member is a voter now. */
--- a/src/consensus/open-tries.ts
+++ b/src/consensus/open-tries.ts
@@ -1,36 +1,36 @@
-/** The members of a group that one call has asked and that have not answered yet. */
+/** Pending attempts of one call: the members that have been asked and have not responded yet. */
 import { describeError, monotonicMs } from '../common/index.js';
 import { type CallOptions, LinkError } from '../wire/index.js';
 import type { LeaderRefusal, Rejection } from './leader-refusal.js';
 
-/** What one member said: the result, that it leads and refuses, or where else to ask. */
+/** Response of one member: a result, a rejection by the leader, or a redirect. */
 export type TryResult<Response> =
   | { response: Response }
   | { refused: LeaderRefusal }
   | { leaderAddress: string | undefined; refusal: string | undefined };
 
-/** Reads what a member said in place of an answer. */
+/** Converts a rejection into the result of an attempt. */
 export function rejectionResult({ refused, leaderAddress, refusal }: Rejection): TryResult<never> {
   return refused ? { refused } : { leaderAddress, refusal };
 }
 
-/** Asks one member. */
+/** Sends the request to one member. */
 export type Attempt<Response> = (
   address: string,
   limits: CallOptions,
 ) => Promise<TryResult<Response>>;
 
-/** What a member said, and which one. */
+/** Result of an attempt, with the member's address. */
 export type AttemptOutcome<Response> = TryResult<Response> & {
   address: string;
-  /** The question or its answer was lost with the connection. */
+  /** The request or its response was lost with the connection. */
   isLost: boolean;
 };
 
 export interface PendingAttemptsLimits {
-  /** When the whole call ends (monotonic, milliseconds). */
+  /** End of the whole call (monotonic, milliseconds). */
   deadline: number;
-  /** After this time without a byte from a member its connection is suspect, in milliseconds. */
+  /** Time without data from a member after which its connection is suspect, in milliseconds. */
   silenceMs: number;
 }
 
@@ -48,7 +48,7 @@
     return this.pending.has(address);
   }
 
-  /** Asks a member, unless its answer is outstanding. */
+  /** Asks a member, unless it has a pending attempt. */
   begin(address: string): void {
     if (this.pending.has(address)) return;
     this.pending.add(address);
@@ -58,7 +58,7 @@
     });
   }
 
-  /** The next answer or failure of any member, or nothing after `timeoutMs`. */
+  /** The next outcome of any attempt, or undefined after `timeoutMs`. */
   async next(timeoutMs: number): Promise<AttemptOutcome<Response> | undefined> {
     if (this.outcomes.length === 0) await this.waitForOutcome(timeoutMs);
     const outcome = this.outcomes.shift();
@@ -67,8 +67,8 @@
   }
 
   /**
-   * Waits, but no longer than until an answer that ends the pause is there to be read. A failure mustn't end the
-   * pause after another one: members that all fail at once would be asked without any.
+   * Waits, or returns early when an outcome for which `endsPause` holds is available. Other
+   * failures do not end the pause; otherwise members that all fail would be retried without delay.
    */
   async pause(
     forMs: number,
--- a/src/consensus/options.ts
+++ b/src/consensus/options.ts
@@ -1,35 +1,35 @@
-/** Timing and sizes of replicated groups. */
+/** Timing and size options of replicated groups. */
 export interface ConsensusOptions {
-  /** Time between a leader's heartbeats, in milliseconds. @default 75 */
+  /** Interval between a leader's heartbeats, in milliseconds. @default 75 */
   heartbeatIntervalMs?: number;
-  /** Shortest time without a leader before an election, in milliseconds. @default 450 */
+  /** Minimum time without a leader before an election, in milliseconds. @default 450 */
   electionTimeoutMs?: number;
   /**
-   * Shortest time without a leader before a restarted member's first election, in milliseconds.
+   * Minimum time without a leader before the first election after a start, in milliseconds.
    * @default electionTimeoutMs
    */
   startupElectionTimeoutMs?: number;
   /**
-   * Shortest time from the end of the leader's connection to an election, in milliseconds; long
-   * enough for a leader that lives to connect again and send a heartbeat. @default 150
+   * Minimum time between the loss of the leader's connection and an election, in milliseconds.
+   * Allows a running leader to reconnect and send a heartbeat. @default 150
    */
   disconnectTimeoutMs?: number;
-  /** Entries applied between two snapshots. @default 4000 */
+  /** Applied entries between two snapshots. @default 4000 */
   snapshotEveryEntries?: number;
-  /** Bytes of commands applied between two snapshots, if that comes first. @default no limit */
+  /** Bytes of applied commands between two snapshots, if reached first. @default no limit */
   snapshotEveryBytes?: number;
-  /** Entries kept behind a snapshot for members that lag a little. @default 1000 */
+  /** Entries before a snapshot that are kept for slightly lagging members. @default 1000 */
   trailingEntries?: number;
-  /** Bytes of those entries, if that comes first. @default no limit */
+  /** Maximum bytes of those entries. @default no limit */
   trailingBytes?: number;
   /**
-   * A leader takes no commands while the entries in its memory have this many bytes: snapshots let
-   * them go, unless the disk or the quorum is away. @default no limit
+   * Limit for the bytes of uncompacted entries in memory, above which a leader rejects commands.
+   * Snapshots release entries unless the disk or the quorum is unavailable. @default no limit
    */
   maxHeldBytes?: number;
   /**
-   * How long a command may wait for its place in the log of a leader that has more than the group
-   * commits soon, before it is refused, in milliseconds. @default 1000
+   * Maximum time that a command may wait to be appended on an overloaded leader before it is
+   * rejected, in milliseconds. @default 1000
    */
   maxProposalWaitMs?: number;
 }
--- a/src/consensus/overload.test.ts
+++ b/src/consensus/overload.test.ts
@@ -1,10 +1,6 @@
 /**
- * The leader of a group of five voters and three learners sent each kept prompt to all seven over one
- * link. A burst of some seconds filled that link: heartbeats and votes waited behind appends for longer
- * than an election time-out, batches that were still on their way were sent again, and leadership went
- * round without end, long after the load had fallen to a fifth of what had been served before. In the run
- * that settled it, with links of 47 Mbit/s and commands of 17 kB, 25 commands a second took 25 ms each
- * before the burst; in the six seconds after it two to nine of each 25 were committed, in terms 7 to 13.
+ * Regression test: a burst of large commands filled the leader's link. Heartbeats and votes were
+ * queued behind appends, batches were resent, and leadership kept changing after the burst.
  */
 import { expect, it, vi } from 'vitest';
 import {
@@ -29,7 +25,7 @@
 const VOTERS = 5;
 const LEARNERS = ['member-6', 'member-7', 'member-8'];
 const CLIENTS = 20;
-/** How long a client waits for its command, and one member may take before it asks others. */
+/** Timeouts of a client for the command and for one member. */
 const CLIENT_LIMITS = { timeoutMs: 1_000, tryTimeoutMs: 250 };
 
 const QUIET_PER_SECOND = 25;
@@ -37,9 +33,9 @@
 const BEFORE_MS = 1_000;
 const BURST_MS = 4_000;
 const AFTER_MS = 5_000;
-/** How long after the burst all is to be as before. */
+/** Time after the burst by which service must be back to normal. */
 const RECOVERY_MS = 2_000;
-/** Bytes on the leader's link that a command needs: 86 commands a second fit it. */
+/** Bytes that one command takes on the leader's link, which carries 86 commands per second. */
 const NEEDED_BYTES = COMMAND_BYTES * (VOTERS - 1);
 
 interface SentCommand {
@@ -56,7 +52,7 @@
     this.clients = Array.from({ length: CLIENTS }, (_, index) => cluster.client(`client-${index}`));
   }
 
-  /** Sends commands evenly, whatever becomes of them. */
+  /** Sends commands at a constant rate without waiting for results. */
   async send(perSecond: number, forMs: number): Promise<void> {
     const startedAt = monotonicMs();
     for (let sent = 0; monotonicMs() - startedAt < forMs; sent += 1) {
@@ -69,7 +65,7 @@
     await Promise.all(this.open);
   }
 
-  /** How many of the commands sent in a span were committed while their clients waited. */
+  /** Number of commands sent in an interval, and of those committed within the client timeout. */
   servedBetween(from: number, to: number): { sent: number; served: number } {
     const own = this.commands.filter(({ sentAt }) => sentAt >= from && sentAt < to);
     return { sent: own.length, served: own.filter(({ isServed }) => isServed).length };
@@ -102,7 +98,7 @@
   return cluster;
 }
 
-it('keeps its leader and most of its rate in a burst, and serves all again soon after', async () => {
+it('keeps its leader and most of its throughput in a burst, and recovers soon afterwards', async () => {
   simulateTime(SEED);
   const links = new MeteredLinks({ bytesPerSecond: BYTES_PER_SECOND, latencyMs: LATENCY_MS });
   const cluster = await startGroup(links);
--- a/src/consensus/peer-directory.test.ts
+++ b/src/consensus/peer-directory.test.ts
@@ -1,4 +1,4 @@
-/** Calls to peers whose link is not up yet. */
+/** Calls to peers that are not connected yet. */
 import { describe, expect, it, onTestFinished } from 'vitest';
 import { MethodRouter, RpcServer, defineMethod } from '../wire/index.js';
 import { PeerDirectory } from './peer-directory.js';
@@ -15,7 +15,7 @@
 }
 
 describe('a first call to a peer', () => {
-  it('fails at once, or waits for the link where it is asked to', async () => {
+  it('fails immediately, or waits for the link with callWhenConnected', async () => {
     const router = new MethodRouter();
     router.handle(ECHO, (text) => text);
     const server = await RpcServer.start({ host: '127.0.0.1', port: 0, secret: SECRET, router });
@@ -26,7 +26,7 @@
     expect(await peers().callWhenConnected(address, ECHO, 'x', limits)).toBe('x');
   });
 
-  it('fails when the peer can not be reached in time', async () => {
+  it('fails when the peer cannot be reached in time', async () => {
     const limits = { timeoutMs: 1_000, connectMs: 50 };
     await expect(peers().callWhenConnected('127.0.0.1:1', ECHO, 'x', limits)).rejects.toThrow();
   });
--- a/src/consensus/peer-directory.ts
+++ b/src/consensus/peer-directory.ts
@@ -1,7 +1,7 @@
-/** Links to the other members, one a member address, shared by all groups. */
+/** Links to other members, one per address, shared by all groups. */
 import { type CallOptions, type Method, type MethodRouter, PeerLink } from '../wire/index.js';
 
-/** Reaches other processes by their announced addresses. */
+/** Calls other processes by their advertised addresses. */
 export interface PeerCaller {
   call<Request, Response>(
     address: string,
@@ -10,11 +10,11 @@
     options: CallOptions,
   ): Promise<Response>;
 
-  /** Whether a call would be sent now rather than fail at once. */
+  /** Whether a call would be sent immediately instead of failing. */
   isConnected(address: string): boolean;
 }
 
-/** Sends notices to other processes by their announced addresses. */
+/** Sends notifications to other processes by their advertised addresses. */
 export interface PeerNotifier {
   notify<Request>(address: string, method: Method<Request, void>, request: Request): void;
 }
@@ -23,7 +23,7 @@
   ownName: string;
   secret: string;
   router: MethodRouter;
-  /** Turns a member's address into the one to connect to. */
+  /** Maps a member's advertised address to the address to connect to. */
   resolveAddress: (address: string) => string;
 }
 
@@ -41,7 +41,7 @@
     return this.link(address).call(method, request, options);
   }
 
-  /** Sends a notice if the link is up; nothing tells whether it arrived. */
+  /** Sends a notification if the link is up. Delivery is not confirmed. */
   notify<Request>(address: string, method: Method<Request, void>, request: Request): void {
     this.link(address).notify(method, request);
   }
@@ -50,7 +50,7 @@
     return this.link(address).isConnected;
   }
 
-  /** Calls once the link is up, which a first call to a peer would not wait for. */
+  /** Waits for the link before the call; a plain call fails if the link is not up yet. */
   async callWhenConnected<Request, Response>(
     address: string,
     method: Method<Request, Response>,
@@ -72,7 +72,7 @@
     return link;
   }
 
-  /** Bytes sent and received over all links so far. */
+  /** Total bytes sent and received over all links. */
   get totalTraffic(): { received: number; sent: number } {
     const totals = { received: 0, sent: 0 };
     for (const link of this.links.values()) {
--- a/src/consensus/pending-proposals.ts
+++ b/src/consensus/pending-proposals.ts
@@ -1,4 +1,4 @@
-/** Commands that a leader has appended and whose proposers wait for the result. */
+/** Appended commands of a leader whose proposers wait for the result. */
 import { Deferred } from '../common/index.js';
 import type { LogEntry } from '../log-store/index.js';
 import { CommitUnknownError } from './errors.js';
@@ -15,7 +15,7 @@
 
   /**
    * Resolves with the entry's result once it is committed and applied.
-   * @throws CommitUnknownError when leadership ended first; the entry may be committed
+   * @throws CommitUnknownError if leadership ends first; the entry may be committed
    */
   add(entry: LogEntry): Promise<unknown> {
     const deferred = new Deferred<unknown>();
@@ -23,7 +23,9 @@
     return deferred.promise;
   }
 
-  /** An entry was applied; it may be another leader's at the index of a proposal. */
+  /**
+   * Completes the proposal at the applied entry's index. The entry may come from another leader.
+   */
   settle(entry: LogEntry, result: unknown): void {
     const proposal = this.byIndex.get(entry.index);
     if (!proposal) return;
@@ -32,7 +34,7 @@
     else proposal.deferred.reject(new CommitUnknownError(this.group));
   }
 
-  /** Leadership has ended: nothing is known of what was not applied yet. */
+  /** Rejects all proposals when leadership ends, since their outcome is unknown. */
   abandonAll(): void {
     for (const { deferred } of this.byIndex.values()) {
       deferred.reject(new CommitUnknownError(this.group));
--- a/src/consensus/proposal-limiter.test.ts
+++ b/src/consensus/proposal-limiter.test.ts
@@ -1,4 +1,4 @@
-/** Which commands go to a leader's log, which wait, and which are refused. */
+/** Admission, queueing and rejection of commands on a leader. */
 import { describe, expect, it } from 'vitest';
 import { Deferred, sleep } from '../common/index.js';
 import { createCommitTimings } from './commit-timings.js';
@@ -7,11 +7,11 @@
 
 const COMMIT_TARGET_MS = 20;
 const MAX_WAIT_MS = 200;
-/** More than half of the first window, so that one is under way at a time. */
+/** More than half of the initial window, so that only one is in flight. */
 const LARGE_BYTES = 300 * 1024;
 
 class Log {
-  /** First byte of each command, in the order in which they came. */
+  /** First byte of each appended command, in order. */
   readonly appended: number[] = [];
   readonly reported: number[] = [];
   private readonly open: Deferred<unknown>[] = [];
@@ -24,13 +24,13 @@
     onRefused: (count) => this.reported.push(count),
   });
 
-  /** Settles with the command's number, or the name of the error. */
+  /** Resolves with the result, or with the class name of the error. */
   async propose(number: number, bytes = LARGE_BYTES): Promise<unknown> {
     const command = Buffer.alloc(bytes, number);
     return this.limiter.submit({ command }).catch((error: Error) => error.constructor.name);
   }
 
-  /** Commits the oldest command that is not committed. */
+  /** Commits the oldest uncommitted command. */
   async commit(): Promise<void> {
     this.open.shift()!.resolve('committed');
     await sleep(0);
@@ -44,8 +44,8 @@
   }
 }
 
-describe('a gate before the log', () => {
-  it('lets small commands through at once, and one alone whatever its size', async () => {
+describe('proposal limiter', () => {
+  it('admits small commands immediately, and a single one of any size', async () => {
     const log = new Log();
     for (let number = 0; number < 100; number += 1) void log.propose(number, 200);
     expect(log.appended).toHaveLength(100);
@@ -54,7 +54,7 @@
     expect(secondLog.appended).toEqual([1]);
   });
 
-  it('lets the next in, in order, when one is committed', async () => {
+  it('admits the next command in order when one is committed', async () => {
     const log = new Log();
     const results = [1, 2, 3].map((number) => log.propose(number));
     expect(log.appended).toEqual([1]);
@@ -67,7 +67,7 @@
     expect(await Promise.all(results)).toEqual(['committed', 'committed', 'committed']);
   });
 
-  it('refuses what has waited for too long, and says so', async () => {
+  it('rejects commands that waited too long, and reports it', async () => {
     const log = new Log();
     void log.propose(1);
     const rejected = await Promise.all([log.propose(2), log.propose(3)]);
@@ -77,7 +77,7 @@
     expect(log.reported).toEqual([1]);
   });
 
-  it('lets those that came last in first once the oldest has waited for long', async () => {
+  it('admits the newest command first once the oldest has waited long', async () => {
     const log = new Log();
     void log.propose(1);
     void log.propose(2);
@@ -87,7 +87,7 @@
     expect(log.appended).toEqual([1, 3]);
   });
 
-  it('takes less at a time while commits are late', async () => {
+  it('reduces the window while commits are late', async () => {
     const log = new Log();
     void log.propose(1, 100 * 1024);
     for (let number = 2; number < 6; number += 1) {
@@ -99,7 +99,7 @@
     expect(log.limiter.hasWaiting).toBe(true);
   });
 
-  it('refuses at once what waits when leadership ends, and begins anew', async () => {
+  it('rejects waiting commands when leadership ends, and can be used again', async () => {
     const log = new Log();
     void log.propose(1);
     const waiting = log.propose(2);
--- a/src/consensus/proposal-limiter.ts
+++ b/src/consensus/proposal-limiter.ts
@@ -1,34 +1,39 @@
 /**
- * Lets as many commands into a leader's log as the group commits soon; the others wait for a moment, and
- * are refused once waiting has no use. Without it a burst that is over leaves a backlog that callers
- * have given up, and everything after it is late.
+ * Limits the commands that a leader has in flight. Excess commands wait for a short time and are
+ * then rejected. Without a limit, a burst leaves a backlog of abandoned commands that delays all
+ * later ones.
  */
 import { Deferred, monotonicMs } from '../common/index.js';
 import type { CommitTimings } from './commit-timings.js';
 import { CommitWindow } from './commit-window.js';
 import { GroupOverloadedError } from './errors.js';
 
-/** Bytes that may wait: what a link of 100 Mbit/s brings in the longest wait. */
+/** Maximum bytes of waiting commands. */
 const MAX_WAITING_BYTES = 4 * 1024 * 1024;
 
-/** What a leader is asked to replicate. */
+/** A command to replicate. */
 export interface Proposal {
   command: Uint8Array;
-  /** What goes to this member's disk with the command; see `LogEntry.attachments`. @default nothing */
+  /**
+   * Data written to the local disk with the command; see `LogEntry.attachments`. @default nothing
+   */
   attachments?: readonly Uint8Array[];
 }
 
 export interface ProposalLimiterOptions {
   group: string;
-  /** How long a command may take from the log to its commit, in milliseconds. */
+  /** Target latency from append to commit, in milliseconds. */
   commitTargetMs: number;
-  /** How long a command may wait before it goes to the log, in milliseconds. */
+  /** Maximum time that a command waits to be appended, in milliseconds. */
   maxWaitMs: number;
-  /** Appends a command; resolves with its result once it is committed and applied. */
+  /** Appends a command. Resolves with its result once it is committed and applied. */
   append: (proposal: Proposal) => Promise<unknown>;
-  /** How long commands waited, and took from the log to the end of applying, in milliseconds. */
+  /** Records waiting times and latencies from append to apply, in milliseconds. */
   times: Pick<CommitTimings, 'gate' | 'commit'>;
-  /** Called at most once a second while commands are refused, with how many were since the last call. */
+  /**
+   * Called at most once per second while commands are rejected, with the number since the last
+   * call.
+   */
   onRefused: (count: number) => void;
 }
 
@@ -48,26 +53,26 @@
   private timer: NodeJS.Timeout | undefined;
   private reportedAt = Number.NEGATIVE_INFINITY;
   private reportedRefusals = 0;
-  /** Commands refused so far. */
+  /** Number of commands rejected so far. */
   refused = 0;
 
   constructor(private readonly options: ProposalLimiterOptions) {
     this.window = new CommitWindow(options.commitTargetMs);
   }
 
-  /** Whether commands wait. */
+  /** Whether commands are waiting. */
   get hasWaiting(): boolean {
     return this.waiting.length > 0;
   }
 
-  /** Bytes of commands that may be under way at a time. */
+  /** Current limit for the bytes of uncommitted commands. */
   get windowBytes(): number {
     return this.window.bytes;
   }
 
   /**
-   * Appends a command now, or when there is room for it.
-   * @throws GroupOverloadedError when there was none in time; the command was not taken
+   * Appends a command immediately, or as soon as the window has room.
+   * @throws GroupOverloadedError if there is no room in time; the command was not appended
    */
   submit(proposal: Proposal): Promise<unknown> {
     if (this.waiting.length === 0 && this.window.hasRoom(proposal.command.length)) {
@@ -84,7 +89,7 @@
     return result.promise;
   }
 
-  /** Refuses all that waits; what is under way is settled by its owner. */
+  /** Rejects all waiting commands. Commands in flight are not affected. */
   refuseAll(reason: Error): void {
     clearTimeout(this.timer);
     this.timer = undefined;
@@ -92,7 +97,7 @@
     for (const { result } of this.waiting.splice(0)) result.reject(reason);
   }
 
-  /** Leadership has ended. */
+  /** Called when leadership ends. */
   close(reason: Error): void {
     this.refuseAll(reason);
     this.window.clear();
@@ -136,8 +141,8 @@
   }
 
   /**
-   * Those that came last once the oldest has waited for long: the group is overloaded then, and in
-   * order each would be served just when its caller gives up.
+   * The next waiting command: the newest one if the oldest has waited for more than half the limit.
+   * Under overload, FIFO order would serve each command just before its caller times out.
    */
   private nextWaiting(): WaitingProposal | undefined {
     const [oldest] = this.waiting;
--- a/src/consensus/quorum-check.test.ts
+++ b/src/consensus/quorum-check.test.ts
@@ -1,8 +1,6 @@
 /**
- * Symptom: none in operation; found by asking for how long a leader without a quorum may go on answering.
- * Sequence: a leader's process is late at every check, and its quorum is gone.
- * Cause: each late check granted the grace that was meant for the one after a standstill.
- * What settled it: ten checks in a row, each late, none of which found the quorum lost.
+ * Regression test: a leader whose process was late at every check never noticed that it had lost
+ * its quorum, because each late check granted the grace period meant for a single stall.
  */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { QuorumCheck } from './quorum-check.js';
@@ -14,8 +12,8 @@
 beforeEach(() => void vi.useFakeTimers({ toFake: ['performance'] }));
 afterEach(() => void vi.useRealTimers());
 
-describe('the check for a quorum', () => {
-  it('finds it lost though each check is late', () => {
+describe('quorum check', () => {
+  it('detects a lost quorum even if each check is late', () => {
     const contactMs = performance.now();
     const check = new QuorumCheck(TIMING);
     const found = Array.from({ length: 10 }, () => {
@@ -26,7 +24,7 @@
     expect(found.indexOf(true)).toBeLessThan(3);
   });
 
-  it('keeps a leader that is late at each check but is answered', () => {
+  it('keeps a leader that is late at each check but gets responses', () => {
     const check = new QuorumCheck(TIMING);
     for (let round = 0; round < 10; round += 1) {
       const sentAt = performance.now();
@@ -35,7 +33,7 @@
     }
   });
 
-  it('lets answers be read after a standstill, once', () => {
+  it('grants one grace period after a stall to read responses', () => {
     const contactMs = performance.now();
     const check = new QuorumCheck(TIMING);
     vi.advanceTimersByTime(STALL_MS);
--- a/src/consensus/quorum-check.ts
+++ b/src/consensus/quorum-check.ts
@@ -1,4 +1,4 @@
-/** Tells a leader that it has been without a quorum for too long and has to step down. */
+/** Detects that a leader has lost contact with its quorum and must step down. */
 import { monotonicMs } from '../common/index.js';
 import type { CheckedConsensusOptions } from './options.js';
 
@@ -10,10 +10,10 @@
   constructor(private readonly timing: QuorumTiming) {}
 
   /**
-   * Call it at every heartbeat interval. What this check itself is late by doesn't count: after a
-   * standstill of this process answers wait to be read. A leader that is late at every check steps
-   * down at the second one without an answer, instead of answering readers for as long as that lasts.
-   * @param contactMs send time of the latest message that a majority has answered (monotonic)
+   * Called at every heartbeat interval. The delay of the check itself is not counted, since after a
+   * stall of the process responses may still be unread. A leader that is late at every check steps
+   * down at the second check without a response.
+   * @param contactMs send time of the latest message acknowledged by a majority (monotonic)
    */
   isQuorumLost(contactMs: number): boolean {
     const now = monotonicMs();
--- a/src/consensus/relay-term.test.ts
+++ b/src/consensus/relay-term.test.ts
@@ -1,7 +1,6 @@
 /**
- * A voter sends committed entries on to learners in its leader's name. Between a change of leader and its next look at
- * it, it sent an entry of the next term in the name of the one before, to a learner that may still follow that
- * one: the old leader would count it as its own, and the learner end itself over an entry that doesn't fit.
+ * Regression test: after a change of leader, a relay sent an entry of the new term on behalf of the
+ * previous leader.
  */
 import { expect, it, onTestFinished } from 'vitest';
 import { sleep } from '../common/index.js';
@@ -19,7 +18,7 @@
   return { index, term, kind: 'command', data: new Uint8Array([index]) };
 }
 
-/** A voter that follows a leader, and what it sends to the learner that falls to it. */
+/** A voter that relays entries to a learner, and the requests that it sends. */
 class Follower {
   readonly group = 'g';
   readonly ownId = 'a-voter';
@@ -61,7 +60,7 @@
   };
 }
 
-it('nothing of a later term is sent in the name of the leader before', async () => {
+it('a relay sends no entries of a later term on behalf of the previous leader', async () => {
   const follower = new Follower();
   const relays = new LearnerRelays(follower as unknown as RelayingMember);
   onTestFinished(() => relays.stop());
--- a/src/consensus/replaced-member-heartbeats.test.ts
+++ b/src/consensus/replaced-member-heartbeats.test.ts
@@ -1,10 +1,7 @@
 /**
- * A leader counted the answers of a learner as those of a voter that was gone. A member that loses its disk comes back
- * under another identity at the same address, so that the leader sends this address heartbeats for both; only the new
- * member answers, and its answer was taken for the first heartbeat of the group in the message, which was the old
- * voter's. In a group of five with two such members the old voters' matched indexes rose with those of the new learners
- * (153 to 298 while their disks were lost), the leader went on without a majority when one more was cut off, and
- * nothing was heard of the learners between two appends.
+ * Regression test: a member that lost its disk rejoins with a new id at the same address. Heartbeat
+ * responses of the new learner were counted for the old voter, so a leader without a majority could
+ * commit.
  */
 import { expect, it, vi } from 'vitest';
 import { startCluster } from '../../tests/support/consensus-cluster.js';
@@ -17,10 +14,10 @@
 const ELECTION_TIMEOUT_MS = 120;
 const CONSENSUS = { heartbeatIntervalMs: 20, electionTimeoutMs: ELECTION_TIMEOUT_MS };
 const HEARTBEATS_MS = 200;
-/** Long enough for a learner to be sent entries by the leader itself. */
+/** Exceeds the time after which the leader replicates to a learner itself. */
 const ISOLATION_MS = 1_500;
 
-/** A leader, a follower, and a learner in the place of a voter that lost its disk. */
+/** Starts a leader, a follower, and a learner that replaces a voter with a lost disk. */
 async function startWithReplacedMember() {
   simulateTime(1);
   const cluster = await startCluster({ consensus: CONSENSUS });
@@ -38,7 +35,7 @@
   return { cluster, leader, follower: follower!, old, learner };
 }
 
-it('hears a renewed member by its heartbeats, and not the voter whose disk it lost', async () => {
+it('counts heartbeat responses for the new member, not for the voter with the lost disk', async () => {
   const { leader, old, learner } = await startWithReplacedMember();
   const silentMs = (id: string): number => performance.now() - leader.group.contactMsOf(id);
   expect.soft(silentMs(learner.id)).toBeLessThan(ELECTION_TIMEOUT_MS);
@@ -46,7 +43,7 @@
   expect.soft(leader.group.matchIndexOf(old.id)).toBeLessThan(leader.group.log.lastIndex);
 });
 
-it('commits nothing and steps down when only a learner answers in the place of a lost voter', async () => {
+it('commits nothing and steps down when only a learner responds in place of a lost voter', async () => {
   const { cluster, leader, follower } = await startWithReplacedMember();
   cluster.network.isolate(follower.member.address);
   const committedBefore = leader.group.commitIndex;
--- a/src/consensus/replaced-snapshot-sources.test.ts
+++ b/src/consensus/replaced-snapshot-sources.test.ts
@@ -1,4 +1,4 @@
-/** Whom a new member asks for what a snapshot names, once all members of the snapshot's day have been replaced. */
+/** Sources of external data after all members named in a snapshot have been replaced. */
 import { expect, it } from 'vitest';
 import {
   type ConsensusCluster,
@@ -14,10 +14,10 @@
 import type { ExternalState } from './state-machine.js';
 
 const SIZE = 3;
-/** Far longer than a snapshot takes to be sent again, in milliseconds. */
+/** Much longer than the interval at which a snapshot is resent, in milliseconds. */
 const CATCH_UP_MS = 2_000;
 
-/** Data that every running member has and gives to whoever asks. */
+/** External data that every running member holds and serves. */
 class SharedExternalState implements ExternalState {
   constructor(private readonly isRunning: (member: Member) => boolean) {}
 
@@ -34,7 +34,7 @@
   }
 
   noteLogged(): void {
-    // Nothing is attached.
+    // There are no attachments.
   }
 
   async fetchMissing(_snapshot: unknown, sources: readonly Member[]): Promise<void> {
@@ -42,7 +42,7 @@
   }
 }
 
-/** Adds a voter in the place of one that is gone, as after each other machine is replaced. */
+/** Adds a voter and removes a previous one. */
 async function replace(cluster: ConsensusCluster, old: RunningMember, name: string): Promise<void> {
   const leader = await cluster.waitLeader();
   const { group } = leader;
@@ -63,11 +63,10 @@
 }
 
 /**
- * Three machines of a group were replaced one after the other, and the group made no snapshot meanwhile. A member that is
- * sent the latest one asks the members that the snapshot names for the values, which are gone, and neither the leader
- * that sends it nor the voters of today: it is never taken in, though all of them hold what it lacks.
+ * Regression test: a new member asked only the members named in the snapshot for external data.
+ * After all of them had been replaced, it could never install the snapshot.
  */
-it('are the members of today, and not only those that a snapshot names', async () => {
+it('are the current members, and not only those named in a snapshot', async () => {
   const cluster: ConsensusCluster = await startCluster({
     size: SIZE,
     createMachine: () =>
--- a/src/consensus/replicated-group.ts
+++ b/src/consensus/replicated-group.ts
@@ -2,8 +2,8 @@
  * One member of a replicated group (Raft, after Ongaro and Ousterhout 2014, with pre-vote, check
  * quorum, learners, single-server membership change and leadership transfer).
  *
- * Tasks run side by side: one for each follower while leading (replicator.ts), one for an election
- * (election.ts), one that applies what is committed (applier.ts), and the host's clock tick.
+ * Concurrent tasks: one per follower while leading (replicator.ts), elections (election.ts),
+ * application of committed entries (applier.ts), and the periodic tick of the host.
  */
 import { SignalEvent, monotonicMs } from '../common/index.js';
 import { DiskFullError, type LogEntry, StorageFullError } from '../log-store/index.js';
@@ -37,12 +37,12 @@
 import { Replicator } from './replicator.js';
 import type { StateMachine } from './state-machine.js';
 
-/** A command is to be committed within so many heartbeat intervals. */
+/** Target commit latency, in heartbeat intervals. */
 const COMMIT_TARGET_HEARTBEATS = 2;
 
 export type MemberState = 'follower' | 'candidate' | 'leader';
 
-/** What a group needs of the process around it. */
+/** Services that a group needs from its process. */
 export interface GroupEnvironment {
   ownId: string;
   options: CheckedConsensusOptions;
@@ -52,15 +52,15 @@
     request: Request,
     options: CallOptions,
   ): Promise<Response>;
-  /** Asks for heartbeats to go out soon, for a read that waits for a quorum. */
+  /** Requests heartbeats soon, for a read that waits for a quorum. */
   requestHeartbeats(): void;
-  /** Called when this member starts or stops leading. */
+  /** Called when this member gains or loses leadership. */
   onLeadershipChange(group: ReplicatedGroup): void;
-  /** Called when there was no room for a snapshot; it is tried again later. */
+  /** Called when a snapshot failed for lack of space; it is retried later. */
   onSnapshotSkipped(group: ReplicatedGroup, error: StorageFullError): void;
-  /** A snapshot is durable, and the log has let go what stood up to an index. */
+  /** Called when a snapshot is durable and the log has been compacted. */
   onSnapshotStored(group: ReplicatedGroup, snapshot: StoredSnapshotMarks): void;
-  /** Called at most once a second while a leader refuses commands for their number. */
+  /** Called at most once per second while a leader rejects commands because of overload. */
   onProposalsRefused(group: ReplicatedGroup, count: number): void;
   onFatal(error: unknown): void;
 }
@@ -71,7 +71,7 @@
   leaderId: string | undefined;
   commitIndex: number;
   readonly applier: Applier;
-  /** Monotonic time since when this member has led, in milliseconds. */
+  /** Time when this member became leader (monotonic, milliseconds). */
   leadingSince = 0;
   readonly traffic = createReplicationTraffic();
   readonly times = createCommitTimings();
@@ -83,7 +83,7 @@
   private readonly relays = new LearnerRelays(this);
   private readonly quorumCheck: QuorumCheck;
   private readonly quorumContact = new SignalEvent();
-  /** While leading: the last index that is synced on this member. */
+  /** On a leader, the last index synced locally. */
   private syncedIndex = 0;
   private hardStateWritten: Promise<void> = Promise.resolve();
   private termStartIndex = 0;
@@ -126,7 +126,7 @@
     return isVoter(this.configuration, memberId);
   }
 
-  /** Whether another voter sends entries on to a learner. */
+  /** Whether another voter relays entries to a learner. */
   isRelayed(memberId: string): boolean {
     return relayOf(this.configuration, this.ownId, memberId) !== undefined;
   }
@@ -147,7 +147,7 @@
     return this.state === 'leader';
   }
 
-  /** Whether this member leads and has applied all that was committed before it did. */
+  /** Whether this member leads and has applied all entries committed before its term. */
   get isCurrentLeader(): boolean {
     return this.isLeader && this.applier.appliedIndex >= this.termStartIndex;
   }
@@ -156,7 +156,7 @@
     return this.log.configuration;
   }
 
-  /** Whether the latest configuration is committed, so that the next change may begin. */
+  /** Whether the latest configuration is committed, which allows the next change. */
   get isConfigurationSettled(): boolean {
     return (
       this.commitIndex >= this.termStartIndex && this.log.configurationIndex <= this.commitIndex
@@ -167,24 +167,24 @@
     return this.handler;
   }
 
-  /** Address of the member that leads, when known. */
+  /** Address of the current leader, if known. */
   get leaderAddress(): string | undefined {
     return this.leader?.address;
   }
 
-  /** Name of the member that leads, when known. */
+  /** Name of the current leader, if known. */
   get leaderName(): string | undefined {
     return this.leader?.name;
   }
 
   /**
-   * Replicates a command; resolves with its result once it is committed and applied.
-   * @param attachments what goes to this member's disk with it; see `LogEntry.attachments`
-   * @throws NotLeaderError when this member does not lead; the command was not taken
-   * @throws StorageFullError when the log has no room; the command was not taken
-   * @throws GroupOverloadedError when there are more commands than the group commits in time; this one
-   *   was not taken
-   * @throws CommitUnknownError when leadership ended first; the command may be committed
+   * Replicates a command. Resolves with its result once it is committed and applied.
+   * @param attachments data written to the local disk with the command; see `LogEntry.attachments`
+   * @throws NotLeaderError if this member is not the leader; the command was not accepted
+   * @throws StorageFullError if the log has no space; the command was not accepted
+   * @throws GroupOverloadedError if there are more commands than the group commits in time; the
+   *   command was not accepted
+   * @throws CommitUnknownError if leadership ends first; the command may be committed
    */
   async propose(command: Uint8Array, attachments?: readonly Uint8Array[]): Promise<unknown> {
     if (!this.isLeader || this.isTransferring) throw this.notLeader();
@@ -204,18 +204,21 @@
 
   private memoryLimitError(): StorageFullError {
     const context = { step: 'consensus.propose', peer: this.name, retriable: true };
-    return new StorageFullError('too many bytes of entries in memory', context);
+    return new StorageFullError('uncompacted log entries exceed the memory limit', context);
   }
 
-  /** A leader whose disk takes no entries lets another lead; a quota is used up everywhere alike. */
+  /**
+   * A leader with a full disk transfers leadership. This does not help for a quota, which is
+   * equally used on all members.
+   */
   private giveUpLeadership(): void {
     void this.transferLeadership().catch((error) => this.environment.onFatal(error));
   }
 
   /**
-   * Resolves when this member was still the leader after the call began and has applied all that
-   * was committed by then, so that a read of the state machine is linearizable.
-   * @throws NotLeaderError when it does not lead, or stops leading meanwhile
+   * Resolves when this member has been confirmed as leader after the call began, and has applied
+   * everything committed by then, which makes reads of the state machine linearizable.
+   * @throws NotLeaderError if this member is not the leader, or loses leadership meanwhile
    */
   async confirmLeadership(): Promise<void> {
     const calledAt = monotonicMs();
@@ -227,33 +230,36 @@
     await this.applier.waitApplied(readIndex);
   }
 
-  /** Send time of the latest message that a majority has answered (monotonic, milliseconds). */
+  /** Send time of the latest message acknowledged by a majority (monotonic, milliseconds). */
   quorumContactMs(): number {
     return quorumValue(this.configuration, (id) => this.contactMsOf(id));
   }
 
-  /** Last index that a follower holds, for those that wait for it to catch up. */
+  /** Last index known to be stored on a follower. */
   matchIndexOf(memberId: string): number {
     return this.replicators.get(memberId)?.matchIndex ?? 0;
   }
 
-  /** When the latest message that a follower answered was sent (monotonic, milliseconds). */
+  /** Send time of the latest message acknowledged by a follower (monotonic, milliseconds). */
   contactMsOf(memberId: string): number {
     if (memberId === this.ownId) return monotonicMs();
     return this.replicators.get(memberId)?.acknowledgedSentAt ?? Number.NEGATIVE_INFINITY;
   }
 
-  /** Whether there are more commands than the group commits soon. */
+  /** Whether commands are waiting to be appended. */
   get isOverloaded(): boolean {
     return this.proposalLimiter.hasWaiting;
   }
 
-  /** Commands refused so far as too many, and bytes of commands that may wait for their commit at a time. */
+  /**
+   * Number of commands rejected because of overload, and the limit for bytes of uncommitted
+   * commands.
+   */
   get admission(): { refused: number; windowBytes: number } {
     return { refused: this.proposalLimiter.refused, windowBytes: this.proposalLimiter.windowBytes };
   }
 
-  /** Adds a member or changes its role; one change at a time. */
+  /** Adds a member or changes its role. Only one membership change may be in progress. */
   addMember(member: Member): Promise<unknown> {
     return this.changeConfiguration(withMember(this.configuration, member));
   }
@@ -262,7 +268,7 @@
     return this.changeConfiguration(withoutMember(this.configuration, id));
   }
 
-  /** Hands leadership over; takes no commands meanwhile. Resolves with whether that went well. */
+  /** Transfers leadership; commands are rejected meanwhile. Resolves with whether it succeeded. */
   async transferLeadership(): Promise<boolean> {
     if (!this.isLeader) return true;
     this.isTransferring = true;
@@ -282,7 +288,7 @@
     this.relays.stop();
   }
 
-  /** Called by the host at every heartbeat interval: a leader without a quorum steps down. */
+  /** Called by the host at every heartbeat interval. A leader without a quorum steps down. */
   tick(): void {
     this.relays.update();
     const contactMs = Math.max(this.quorumContactMs(), this.leadingSince);
@@ -290,7 +296,9 @@
     if (isLost && this.isLeader && !this.isStopped) this.becomeFollower(this.term, undefined);
   }
 
-  /** The leader's connection to this member has closed; the leader may be gone, or come back. */
+  /**
+   * Called when the leader's connection has closed. The leader may have failed, or may reconnect.
+   */
   noteLeaderDisconnected(): void {
     if (this.isStopped || this.isLeader) return;
     this.handler.forgetLeader();
@@ -298,14 +306,14 @@
     this.electionTimer.bringForwardTo(disconnectTimeoutMs * (1 + Math.random()));
   }
 
-  /** Starts an election; `isTransfer` when the leader asked for it. */
+  /** Starts an election. `isTransfer` is set if the leader requested it. */
   startElection(isTransfer: boolean): void {
     void runElection(this, this.environment, isTransfer).catch((error) =>
       this.environment.onFatal(error),
     );
   }
 
-  /** Puts the next election off. */
+  /** Postpones the next election. */
   resetElectionDeadline(): void {
     const { electionTimeoutMs } = this.environment.options;
     this.electionTimer.setIn(electionTimeoutMs * (1 + Math.random()));
@@ -319,8 +327,8 @@
   }
 
   /**
-   * The first elections are spread by whole time-outs, so that groups prefer different leaders. One
-   * that failed is repeated soon: the others may not have been up yet.
+   * First elections are staggered by whole timeouts, which spreads the leaders of different groups.
+   * A failed one is repeated soon, since other members may not have started yet.
    */
   private setFirstElectionDeadline(): void {
     const { startupElectionTimeoutMs } = this.environment.options;
@@ -351,7 +359,7 @@
     if (term > this.term) this.becomeFollower(term, undefined);
   }
 
-  /** Follows `leaderId` in `term`; the new term is written before anything is answered in it. */
+  /** Becomes a follower of `leaderId` in `term`. The term is written before any response in it. */
   becomeFollower(term: number, leaderId: string | undefined): void {
     const wasLeader = this.isLeader;
     this.state = 'follower';
@@ -377,21 +385,21 @@
     this.state = 'leader';
     this.leaderId = this.ownId;
     this.leadingSince = monotonicMs();
-    // The vote for itself was synced after every entry before it.
+    // The vote for this member was synced after all earlier entries.
     this.syncedIndex = this.log.lastIndex;
     this.termStartIndex = this.log.lastIndex + 1;
     this.updateReplicators();
     try {
       void this.appendAsLeader({ kind: 'empty', data: new Uint8Array(0) }).catch(() => undefined);
     } catch {
-      // No room even for the first entry: another member has to lead.
+      // No space for the first entry of the term: another member must lead.
       this.becomeFollower(this.term, undefined);
       return;
     }
     this.environment.onLeadershipChange(this);
   }
 
-  /** Writes term and vote; resolves when synced. A failed write ends the process. */
+  /** Writes term and vote. Resolves when synced; a failed write is fatal. */
   saveHardState(term: number, votedFor: string | undefined): Promise<void> {
     const written = this.log.saveHardState({ term, votedFor });
     written.catch((error) => this.environment.onFatal(error));
@@ -399,12 +407,12 @@
     return written;
   }
 
-  /** Resolves when the current term is synced; no answer may be given in a term before that. */
+  /** Resolves when the current term is synced. No response may be sent in a term before that. */
   waitTermDurable(): Promise<void> {
     return this.hardStateWritten;
   }
 
-  /** Raises the commit index; the applier goes on from there. */
+  /** Raises the commit index and notifies the applier. */
   advanceCommit(index: number): void {
     if (index <= this.commitIndex) return;
     this.commitIndex = Math.min(index, this.log.lastIndex);
@@ -418,11 +426,11 @@
     const index = quorumValue(this.configuration, (id) =>
       id === this.ownId ? this.syncedIndex : this.matchIndexOf(id),
     );
-    // Entries of earlier terms are committed only together with one of this term.
+    // Entries of earlier terms are committed only together with one of the current term.
     if (index >= this.termStartIndex) this.advanceCommit(index);
   }
 
-  /** Called by the applier for every entry, with the state machine's result. */
+  /** Called by the applier for every entry, with the result of the state machine. */
   onApplied(entry: LogEntry, result: unknown): void {
     this.proposals.settle(entry, result);
     if (entry.kind === 'configuration') this.stepDownIfRemoved(entry);
@@ -476,7 +484,7 @@
     if (!this.isLeader) return Promise.reject(this.notLeader());
     if (!this.isConfigurationSettled) {
       return Promise.reject(
-        new MembershipChangeError('another change is under way', {
+        new MembershipChangeError('another membership change is in progress', {
           step: 'consensus.change-members',
           peer: this.name,
           retriable: true,
--- a/src/consensus/replication-traffic.ts
+++ b/src/consensus/replication-traffic.ts
@@ -1,10 +1,10 @@
-/** Bytes of data that a member sent to others as their leader, by purpose, for metrics. */
+/** Bytes sent to other members by purpose, for metrics. */
 export interface ReplicationTraffic {
-  /** Entries that members which count for commits had not been sent before. */
+  /** Entries sent to voters for the first time. */
   voterEntries: number;
-  /** Entries that learners had not been sent before. */
+  /** Entries sent to learners for the first time. */
   learnerEntries: number;
-  /** Entries that were sent again, since no answer had come in time. */
+  /** Entries resent because a response was missing. */
   repeatedEntries: number;
   snapshots: number;
 }
--- a/src/consensus/replicator.ts
+++ b/src/consensus/replicator.ts
@@ -1,6 +1,6 @@
 /**
- * A leader's task for one follower: sends entries, or a snapshot where the entries are gone, until
- * the follower holds the whole log; then waits for more.
+ * Replicates the log to one follower: sends entries, or a snapshot if the entries have been
+ * compacted, until the follower is up to date, then waits for new entries.
  */
 import { Backoff, SignalEvent, TimeoutError, monotonicMs, sleep } from '../common/index.js';
 import type { LogEntry, SnapshotReader } from '../log-store/index.js';
@@ -17,39 +17,33 @@
 } from './messages.js';
 import type { ReplicationTraffic } from './replication-traffic.js';
 
-/** A batch of entries is to be answered within so many heartbeat intervals. */
+/** Target response time of a batch, in heartbeat intervals. */
 const BATCH_TARGET_HEARTBEATS = 2;
 const SNAPSHOT_CHUNK_BYTES = 512 * 1024;
 const APPEND_TIMEOUT_MS = 1_000;
 /**
- * After a time-out: what is on its way still may be received, and the same bytes sent again and again
- * would fill the link for good. A connection that has ended ends the wait at once.
+ * Timeout after a previous one: the data may still be in transit, and resending it too soon would
+ * keep the link saturated. A closed connection ends the wait immediately.
  */
 const MAX_APPEND_TIMEOUT_MS = 2_000;
-/** A peer that sends nothing for so long is connected to anew, in milliseconds: as for heartbeats. */
+/** Time without data from the peer after which the connection is suspect, as for heartbeats. */
 const APPEND_SILENCE_MS = 400;
 const SNAPSHOT_TIMEOUT_MS = 5_000;
 const FULL_FOLLOWER_WAIT_MS = 500;
-/**
- * While commands wait, a learner's share of the time: it rests so many times as long as
- * its batch took. Three learners beside four voters take 0.16 of a full link then, not 0.43.
- */
+/** While commands wait, a learner pauses for this multiple of the time that its last batch took. */
 const LEARNER_PAUSE_FACTOR = 3;
-/**
- * A learner that gets no further for so long, in milliseconds, is sent entries by the leader itself: some
- * heartbeats, in which a voter that works sends several batches.
- */
+/** Time without progress of a learner after which its relay is considered failed. */
 const RELAY_PROGRESS_TIMEOUT_MS = 600;
-/** For how long then, in milliseconds; a relay that is still gone costs another wait after that. */
+/** Time for which the leader replicates to a learner itself after its relay failed. */
 const DIRECT_REPLICATION_MS = 3_000;
 
-/** What the task needs of the log that it sends. */
+/** What a replicator needs from the log. */
 export type ReplicatedLog = Pick<
   MemberLog,
   'lastIndex' | 'compactedTo' | 'termAt' | 'slice' | 'openSnapshot' | 'configuration'
 >;
 
-/** What the task needs of its leader, or of a voter that sends entries on in the leader's name. */
+/** What a replicator needs from the leader, or from a voter that relays on its behalf. */
 export interface ReplicationSource {
   readonly group: string;
   readonly ownId: string;
@@ -58,13 +52,13 @@
   readonly log: ReplicatedLog;
   readonly heartbeatIntervalMs: number;
   readonly traffic: ReplicationTraffic;
-  /** Whether there are more commands than the group commits soon. */
+  /** Whether commands are waiting to be appended. */
   readonly isOverloaded: boolean;
-  /** Whether it sends a snapshot where entries are gone, or leaves that to another. */
+  /** Whether this source sends snapshots, or leaves them to the leader. */
   readonly sendsSnapshots: boolean;
   /** Whether a member counts for commits. */
   isVoter(memberId: string): boolean;
-  /** Whether another member sends entries on to this one. */
+  /** Whether another member relays entries to this one. */
   isRelayed(memberId: string): boolean;
   call<Request, Response>(
     member: Member,
@@ -77,12 +71,12 @@
 }
 
 export class Replicator {
-  /** The last index that the follower is known to hold. */
+  /** Last index known to be stored on the follower. */
   matchIndex = 0;
-  /** When the latest message that the follower answered was sent, on the monotonic clock. */
+  /** Send time of the latest message that the follower acknowledged (monotonic, milliseconds). */
   acknowledgedSentAt = Number.NEGATIVE_INFINITY;
   private nextIndex: number;
-  /** The last index that was sent, whether or not it was answered. */
+  /** Last index that has been sent, whether or not it was acknowledged. */
   private sentIndex = 0;
   private hasProbed = false;
   private readonly wake = new SignalEvent();
@@ -90,7 +84,7 @@
   private readonly batchLimit: BatchLimit;
   private appendTimeoutMs = APPEND_TIMEOUT_MS;
   private relayFailedAt = Number.NEGATIVE_INFINITY;
-  /** Ends the pause in which entries for a learner gather. */
+  /** Ends a pause early. */
   private pauseController: AbortController | undefined;
 
   constructor(
@@ -102,12 +96,12 @@
     void this.run();
   }
 
-  /** Tells the task that there are new entries. */
+  /** Called when there are new entries. */
   notify(): void {
     this.wake.notify();
   }
 
-  /** Finds anew how far the follower's log matches: it was restarted and has forgotten. */
+  /** Probes the follower's match index again after it restarted. */
   probeAgain(): void {
     this.hasProbed = false;
     this.pauseController?.abort();
@@ -115,8 +109,8 @@
   }
 
   /**
-   * The follower has said how far its log matches. That counts for commits at once: no append follows
-   * where the answer to the last one was lost, and what waits for its commit would wait for good.
+   * Records the match index reported by the follower. It counts for commits at once: if the
+   * response to the last append was lost, no further append may follow.
    */
   noteMatch(index: number): void {
     if (index <= this.matchIndex) return;
@@ -125,7 +119,7 @@
     this.source.onFollowerProgress();
   }
 
-  /** The follower counts for commits from now on. */
+  /** Called when the follower becomes a voter. */
   notePromoted(): void {
     this.pauseController?.abort();
   }
@@ -136,7 +130,7 @@
     this.wake.notify();
   }
 
-  /** Notes that the follower answered a message sent at `sentAt` (monotonic, milliseconds). */
+  /** Records the acknowledgement of a message sent at `sentAt` (monotonic, milliseconds). */
   noteAcknowledged(sentAt: number): void {
     this.acknowledgedSentAt = Math.max(this.acknowledgedSentAt, sentAt);
   }
@@ -166,8 +160,8 @@
   }
 
   /**
-   * Nothing waits for the answers of a learner. One that holds all there is gets what comes next
-   * together, once a heartbeat interval; one that does not gives way to commands that wait.
+   * Commits do not depend on learners. A learner that is up to date gets new entries in batches,
+   * once per heartbeat interval; a lagging one yields to waiting commands.
    */
   private async throttleLearner(tookMs: number, isUpToDate: boolean): Promise<void> {
     const { source, member } = this;
@@ -179,7 +173,7 @@
     if (pauseMs > 0) await this.pause(pauseMs);
   }
 
-  /** Sends a learner nothing as long as the voter that sends entries on brings it forward. */
+  /** Sends nothing to a learner while its relay makes progress. */
   private async yieldToRelay(): Promise<void> {
     const { source } = this;
     while (this.canYieldToRelay) {
@@ -193,13 +187,15 @@
     }
   }
 
-  /** A learner that holds nothing yet is brought there by the leader, and so is one that has forgotten. */
+  /**
+   * The leader itself replicates to a learner whose log is empty or whose match index is unknown.
+   */
   private get canYieldToRelay(): boolean {
     if (this.isStopped || !this.hasProbed || this.needsSnapshot) return false;
     return this.matchIndex > 0 && this.source.isRelayed(this.member.id);
   }
 
-  /** Ends early when the member is promoted, or has forgotten how far its log matches. */
+  /** Ends early when the member is promoted or must be probed again. */
   private async pause(milliseconds: number): Promise<void> {
     this.pauseController = new AbortController();
     await sleep(milliseconds, this.pauseController.signal);
@@ -245,7 +241,7 @@
       return response;
     } catch (error) {
       if (error instanceof TimeoutError) this.appendTimeoutMs = MAX_APPEND_TIMEOUT_MS;
-      // Nothing goes out over a link that is down.
+      // Nothing is sent over a link that is down.
       if (!(error instanceof LinkError)) this.noteSent(request.entries, monotonicMs() - sentAt);
       throw error;
     }
@@ -295,7 +291,9 @@
     this.source.onFollowerProgress();
   }
 
-  /** One chunk after the other, each answered before the next is read; a broken one begins anew. */
+  /**
+   * Sends chunks one at a time, each acknowledged before the next. A failed transfer starts over.
+   */
   private async sendChunks(reader: SnapshotReader): Promise<void> {
     const { group, ownId, term } = this.source;
     const { configuration, ...mark } = reader.head;
@@ -318,7 +316,7 @@
       timeoutMs: SNAPSHOT_TIMEOUT_MS,
     });
     if (response.term > this.source.term) this.source.onHigherTerm(response.term);
-    if (!response.accepted) throw new Error('snapshot chunk refused');
+    if (!response.accepted) throw new Error('follower rejected a snapshot chunk');
     this.noteAcknowledged(sentAt);
   }
 }
--- a/src/consensus/slow-follower.test.ts
+++ b/src/consensus/slow-follower.test.ts
@@ -1,8 +1,6 @@
 /**
- * A follower whose link was slow was sent batches of 1 MB that took longer than the second after which
- * the leader gave each up and sent it again, on the same connection, behind the one that was still on its
- * way. Every answer came after its time-out, so the follower never counted as having anything, and the
- * leader sent more than the link carried for as long as it led.
+ * Regression test: on a slow link, append batches took longer than their timeout and were resent
+ * behind the ones still in transit, so the follower never made progress.
  */
 import { expect, it } from 'vitest';
 import { startCluster } from '../../tests/support/consensus-cluster.js';
@@ -17,10 +15,10 @@
 const COMMANDS = 40;
 const COMMAND_BYTES = 50_000;
 const LOG_BYTES = COMMANDS * COMMAND_BYTES;
-/** The log takes 4 s on the slow link; as long again is given for answers and repeats. */
+/** The log takes 4 s on the slow link; the rest is allowed for responses and repeated entries. */
 const CATCH_UP_MS = (2 * LOG_BYTES * 1_000) / SLOW_BYTES_PER_SECOND;
 
-it('gets the log at the rate of its link, and hardly anything twice', async () => {
+it('receives the log at the rate of its link, with few repeated entries', async () => {
   const slower = new Map<string, number>();
   const links = new MeteredLinks({ bytesPerSecond: FAST_BYTES_PER_SECOND, latencyMs: 1, slower });
   const network = new LoopbackNetwork(undefined, links);
--- a/src/consensus/stalled-disk.test.ts
+++ b/src/consensus/stalled-disk.test.ts
@@ -1,15 +1,15 @@
-/** A group of which a majority's disks stall: nothing is acknowledged that is not synced. */
+/** The disks of a majority stall: entries must not be acknowledged before they are synced. */
 import { describe, expect, it } from 'vitest';
 import { GROUP, startCluster } from '../../tests/support/consensus-cluster.js';
 import { sleep } from '../common/index.js';
 import { encodeValue } from '../wire/index.js';
 
-/** Longer than a leader waits for an answer before it repeats entries, in milliseconds. */
+/** Longer than the timeout after which a leader resends entries, in milliseconds. */
 const STALL_MS = 2_500;
 const CALL = { timeoutMs: 5_000 };
 
-describe('a disk that stalls', () => {
-  it('keeps its member from acknowledging entries, also those that the leader repeats', async () => {
+describe('stalled disks', () => {
+  it('prevent acknowledgement of entries, including those that the leader resends', async () => {
     const cluster = await startCluster();
     const leader = await cluster.waitLeader();
     await cluster.client().execute(GROUP, 'before', CALL);
--- a/src/consensus/state-machine.ts
+++ b/src/consensus/state-machine.ts
@@ -1,44 +1,45 @@
-/** What a replicated group replicates. */
+/** The state that a replicated group replicates. */
 import type { LogEntry, StoredSnapshot } from '../log-store/index.js';
 import type { Member } from './configuration.js';
 
 export interface StateMachine {
   /**
-   * Applies one committed command. Must depend on the state and the command only, so that every
-   * replica comes to the same state and result.
+   * Applies one committed command. Must be deterministic: the result may depend only on the state
+   * and the command.
    */
   apply(command: Uint8Array, index: number): unknown;
 
   /**
-   * The whole state as it is at the call, in pieces. They may be encoded when they are asked for, so
-   * that a large state is not held twice, but must not show what is applied in between.
+   * The complete state at the time of the call, in pieces. Pieces may be encoded lazily to save
+   * memory, but must not reflect later commands.
    */
   snapshot(): Iterable<Uint8Array>;
 
-  /** Replaces the state by an encoded one: all pieces of a snapshot behind one another. */
+  /** Replaces the state by the concatenated pieces of a snapshot. */
   restore(state: Uint8Array): void;
 
-  /** Set where the state names data that its snapshots do not contain. */
+  /** Set if the state refers to data that is not part of its snapshots. */
   readonly external?: ExternalState;
 }
 
-/** Data on this member's own disk that the state names and snapshots do not contain. */
+/** Data on the local disk that the state refers to and that is not part of snapshots. */
 export interface ExternalState {
-  /** Resolves once there is room in memory for what more commands bring. */
+  /** Resolves when there is enough memory for the data of further commands. */
   waitForRoom(): Promise<void>;
 
   /**
-   * Makes everything durable that the state names at the call.
-   * @throws StorageFullError when the disk has no room for it now
+   * Makes all data durable that the state refers to at the time of the call.
+   * @throws StorageFullError if the disk is full
    */
   sync(): Promise<void>;
 
   /**
-   * Attaches to received entries what they name, so that it goes to the log in one record with them: an entry
-   * that is acknowledged, or found in the log at a start, names nothing that this member lacks.
-   * @param sources members that may hold what is missing here, in the order in which they are asked
-   * @param getsCopies whether others may be sending here what entries name
-   * @throws when something is missing that no member gave
+   * Adds the data that received entries refer to, so that both are written to the log in one
+   * record. An acknowledged or recovered entry therefore never refers to data that this member
+   * lacks.
+   * @param sources members that may hold missing data, in order of preference
+   * @param getsCopies whether other members may be sending the data to this one
+   * @throws if no member could provide the data
    */
   attach(
     entries: readonly LogEntry[],
@@ -47,15 +48,15 @@
   ): Promise<readonly LogEntry[]>;
 
   /**
-   * Entries stand in this member's log; what they name is wanted until they are applied. At a start they
-   * bring it along.
+   * Called when entries are in the local log. Their data is needed until they are applied.
+   * Recovered entries include it as attachments.
    */
   noteLogged(entries: readonly LogEntry[]): void;
 
   /**
-   * Fetches from other members what a snapshot names and this member does not hold. What was fetched
-   * stays when it fails, so that the next try goes on from there.
-   * @throws when something is missing that no member gave
+   * Fetches the data that a snapshot refers to and this member lacks. Data fetched before a failure
+   * is kept for the next attempt.
+   * @throws if no member could provide the data
    */
   fetchMissing(snapshot: StoredSnapshot, sources: readonly Member[]): Promise<void>;
 }
--- a/src/consensus/vote-after-queued-snapshot.test.ts
+++ b/src/consensus/vote-after-queued-snapshot.test.ts
@@ -1,4 +1,4 @@
-/** How a member votes whose disk was slow while it went from one leader to the next. */
+/** Votes of a member whose slow disk delayed writes across a change of leader. */
 import { join } from 'node:path';
 import { expect, it, onTestFinished } from 'vitest';
 import { FaultyDisk } from '../../tests/support/faulty-disk.js';
@@ -18,7 +18,7 @@
 
 const EARLIER_TERM = 2;
 const LATER_TERM = 3;
-/** Every batch fills a segment, so that the next one is the first of its own. */
+/** Every batch starts a new segment. */
 const SEGMENT_BYTES = 1;
 const VOTERS: Member[] = ['own', 'earlier', 'later'].map((id) => {
   return { id, name: id, address: id, role: 'voter' };
@@ -69,16 +69,12 @@
 }
 
 /**
- * A voter took entries of a leader of term 2 while its disk was slow, then the snapshot of the leader of term 3, which
- * holds a committed entry in the place of one of them. The marks of both waited for the disk together; the head of
- * the next segment put the snapshot's mark in front of the entries. After a restart the voter's log ended with an entry
- * of term 2 again, behind the snapshot of term 3, and it granted its vote to a member that holds only what the leader of term 2
- * had written: with that one's own vote a majority of three, and what was committed in term 3 is lost.
- *
- *     before the restart  last entry 2 of term 3
- *     after it            last entry 3 of term 2
+ * Regression test: entries of one leader and the snapshot of the next one waited for the disk
+ * together. The header of the next segment placed the snapshot mark before the entries, so after a
+ * restart the log ended in the earlier term and the member voted for a candidate without the
+ * committed entries.
  */
-it('refuses its vote to a candidate that lacks what its snapshot holds, also after a restart', async () => {
+it('denies its vote to a candidate that lacks entries of its snapshot, also after a restart', async () => {
   const folder = temporaryFolder();
   const disk = new FaultyDisk();
   const { group, wal, send } = await openMember(folder, disk);
@@ -87,11 +83,11 @@
   const ofEarlier = { ...base, from: 'earlier', term: EARLIER_TERM, commitIndex: 0 };
   const fromStart = { previousIndex: 0, previousTerm: 0 };
   const announced = send(APPEND, { ...ofEarlier, ...fromStart, entries: [] });
-  // The new term is being written: what comes now waits for the batch after it.
+  // The new term is being written, so the following records wait for the next batch.
   await sleep(BATCH_START_MS);
   const entries = entriesUpTo(3);
   const appended = send(APPEND, { ...ofEarlier, ...fromStart, entries });
-  await waitUntil('entries wait for the disk', () => group.log.lastIndex === entries.length);
+  await waitUntil('entries queued', () => group.log.lastIndex === entries.length);
   const chunk = encodeValue(['a', 'b']);
   const installed = send(SNAPSHOT, {
     ...base,
