--- a/src/ledger/ledger-client.test.ts
+++ b/src/ledger/ledger-client.test.ts
@@ -222,8 +222,7 @@
     await gateway.play(OUTAGE_S * 1_000);
     expect(members.requests - before).toBeLessThan(OUTAGE_S * MAX_PROBES_PER_S);
     expect(gateway.reasons.size).toBeGreaterThan(0);
-    for (const reason of gateway.reasons)
-      expect(reason).toMatch(/overloaded|too many wait/);
+    for (const reason of gateway.reasons) expect(reason).toMatch(/overloaded|too many wait/);
     members.isOverloaded = false;
     const { granted } = gateway;
     await gateway.play(1_000);
