--- a/src/ledger/ledger-client.ts
+++ b/src/ledger/ledger-client.ts
@@ -112,10 +112,10 @@
       throw this.rejectWithoutWaiting();
     }
     try {
-      const answer = await this.attempt(request, limitMs, trace);
+      const response = await this.attempt(request, limitMs, trace);
       this.leaderSuspectUntil = 0;
-      this.allowances.update(program, answer.allowanceTokens);
-      return answer;
+      this.allowances.update(program, response.allowanceTokens);
+      return response;
     } catch (error) {
       // The leader did respond.
       if (error instanceof HistoryMissingError) throw error;
@@ -147,9 +147,9 @@
       const copiedTo = this.copies?.send(settlement);
       const canCopy = this.copies !== undefined && attempts < MAX_SETTLE_ATTEMPTS;
       const request = { settlements: [settlement], copiedTo, canCopy };
-      const answer = await this.call(SETTLE, request, limits);
-      if (answer.copyTargets) this.copies?.updateTargets(answer.copyTargets);
-      isSettled = answer.isSettled;
+      const response = await this.call(SETTLE, request, limits);
+      if (response.copyTargets) this.copies?.updateTargets(response.copyTargets);
+      isSettled = response.isSettled;
     }
     if (settlement.draw) this.allowances.confirm(settlement.program);
   }
@@ -213,13 +213,13 @@
     const fullRequest = { ...request, holder: this.holder, settlements, copyTargets };
     const limits = { timeoutMs, tryTimeoutMs: RESERVE_ATTEMPT_TIMEOUT_MS };
     try {
-      const answer = await this.call(RESERVE, fullRequest, limits);
-      if (answer.copyTargets) this.copies?.updateTargets(answer.copyTargets);
+      const response = await this.call(RESERVE, fullRequest, limits);
+      if (response.copyTargets) this.copies?.updateTargets(response.copyTargets);
       // The time includes the leader's requests to other members.
-      if (answer.missingHistory) this.window.leaveUnmeasured();
+      if (response.missingHistory) this.window.leaveUnmeasured();
       else this.window.leaveAnswered(monotonicMs() - startedAt);
       this.confirmDraws(batch);
-      return answer;
+      return response;
     } catch (error) {
       this.window.leaveFailed(monotonicMs() - startedAt);
       this.queue.requeue(batch);
@@ -312,18 +312,18 @@
     this.isProbing = false;
   }
 
-  private async call<Request, Answer>(
-    method: Method<Request, LeaderAnswer<Answer>>,
+  private async call<Request, Response>(
+    method: Method<Request, LeaderAnswer<Response>>,
     request: Request,
     limits: GroupCallOptions,
-  ): Promise<Answer> {
+  ): Promise<Response> {
     this.outage.recordRequest();
     try {
       const options = { ...limits, maximumPauseMs: MAX_ATTEMPT_PAUSE_MS };
-      const answer = await callLeader(this.groups, LEDGER_GROUP, method, request, options);
+      const response = await callLeader(this.groups, LEDGER_GROUP, method, request, options);
       this.outage.recordResponse();
       this.latestRefusal = undefined;
-      return answer;
+      return response;
     } catch (error) {
       // A leader that refuses requests counts as unavailable.
       this.outage.recordFailure();
--- a/src/ledger/ledger-service.ts
+++ b/src/ledger/ledger-service.ts
@@ -116,9 +116,9 @@
     const appliedIndex = this.options.findGroup()?.applier.appliedIndex ?? 0;
     const { atIndex } = request;
     const isStateRecentEnough = atIndex !== undefined && appliedIndex >= atIndex;
-    const answer = await this.options.stateMachine.external.answer(request, isStateRecentEnough);
-    for (const [, value] of answer.values) this.sentBytes.turns += value.length;
-    return { ...answer, memberId: this.options.findGroup()?.ownId };
+    const response = await this.options.stateMachine.external.answer(request, isStateRecentEnough);
+    for (const [, value] of response.values) this.sentBytes.turns += value.length;
+    return { ...response, memberId: this.options.findGroup()?.ownId };
   }
 
   private async reserve(group: ReplicatedGroup, request: ReserveRequest): Promise<ReserveResponse> {
@@ -141,15 +141,15 @@
 
   private async settle(
     group: ReplicatedGroup,
-    { settlements: received, copiedTo, canCopy }: SettleRequest,
+    { settlements: inlineSettlements, copiedTo, canCopy }: SettleRequest,
   ): Promise<SettleResponse> {
     const targets = copyTargetsOf(group);
     const isCopied = copiedTo === targets.version;
-    const values = inlineValuesOf(received);
+    const values = inlineValuesOf(inlineSettlements);
     // If the leader sent the copies for all gateways after an election, they would saturate its link.
     if (!isCopied && canCopy && values.size > 0) return { isSettled: false, copyTargets: targets };
     if (!isCopied) this.sendCopies(values, targets.addresses);
-    const settlements = received.map(withoutInlineValue);
+    const settlements = inlineSettlements.map(withoutInlineValue);
     const command: LedgerCommand = { kind: 'settle', settlements, nowMs: this.nowMs(group) };
     await this.options.stateMachine.external.storeValues(values);
     await group.propose(encodeValue(command), [...values.values()]);
--- a/src/ledger/reservation-attempt.ts
+++ b/src/ledger/reservation-attempt.ts
@@ -44,14 +44,14 @@
   async run(): Promise<ReserveResponse> {
     const { request, histories, trace, sendRequest } = this.options;
     const mayReadElsewhere = histories !== undefined;
-    const answer = await sendRequest({ ...request, mayReadElsewhere }, this.remainingMs, trace);
-    const { historySource, missingHistory } = answer;
+    const response = await sendRequest({ ...request, mayReadElsewhere }, this.remainingMs, trace);
+    const { historySource, missingHistory } = response;
     if (missingHistory) return this.waitForHistory(missingHistory);
-    if (!historySource) return answer;
+    if (!historySource) return response;
     const history = await this.readFromFollower(historySource);
-    if (history) return { ...answer, history };
-    const last = await this.retryRequest();
-    return last.missingHistory ? this.waitForHistory(last.missingHistory) : last;
+    if (history) return { ...response, history };
+    const retried = await this.retryRequest();
+    return retried.missingHistory ? this.waitForHistory(retried.missingHistory) : retried;
   }
 
   private get remainingMs(): number {
@@ -91,9 +91,9 @@
       }
       await sleep(HISTORY_RETRY_DELAY_MS);
       trace.times.historyMs += HISTORY_RETRY_DELAY_MS;
-      const answer = await this.retryRequest();
-      if (!answer.missingHistory) return answer;
-      latest = answer.missingHistory;
+      const response = await this.retryRequest();
+      if (!response.missingHistory) return response;
+      latest = response.missingHistory;
     }
   }
 
@@ -101,9 +101,9 @@
   private async retryRequest(): Promise<ReserveResponse> {
     const { request, trace, sendRequest } = this.options;
     try {
-      const answer = await sendRequest(request, this.remainingMs, trace);
-      if (answer.history) trace.historyFrom = trace.leader;
-      return answer;
+      const response = await sendRequest(request, this.remainingMs, trace);
+      if (response.history) trace.historyFrom = trace.leader;
+      return response;
     } catch (error) {
       if (!(error instanceof NotReservedError)) throw error;
       throw new MaybeReservedError(error.message);
--- a/src/ledger/reservation-trace.ts
+++ b/src/ledger/reservation-trace.ts
@@ -1,4 +1,4 @@
-/** Timings of one reservation and the step at which it failed, for the log entry of its call. */
+/** Timings of one reservation and the step at which it failed, for the log line of its call. */
 import type { HeardLeader } from '../consensus/index.js';
 
 /** Steps of a reservation, in order. */
--- a/src/ledger/turn-history-store.ts
+++ b/src/ledger/turn-history-store.ts
@@ -64,7 +64,7 @@
   private readonly copyArrived = new SignalEvent();
   /** The latest fetch of values that log entries refer to; fetches are serialized. */
   private pendingFetch: Promise<void> = Promise.resolve();
-  /** Since the latest log entry: values requested from other members, and those that none returned. */
+  /** Values requested from other members since the latest log message, and those that none returned. */
   private readonly fetched = { asked: 0, missing: 0 };
   private lastLoggedAt = Number.NEGATIVE_INFINITY;
 
@@ -103,20 +103,20 @@
     { turns }: ReadTurnsRequest,
     isStateRecentEnough: boolean,
   ): Promise<ReadTurnsResponse> {
-    const answer: ReadTurnsResponse = { values: [], expired: [], lost: [], covered: 0 };
+    const response: ReadTurnsResponse = { values: [], expired: [], lost: [], covered: 0 };
     let bytes = 0;
-    while (answer.covered < turns.length && bytes < MAX_RESPONSE_BYTES) {
-      const group = turns.slice(answer.covered, answer.covered + READ_CONCURRENCY);
+    while (response.covered < turns.length && bytes < MAX_RESPONSE_BYTES) {
+      const group = turns.slice(response.covered, response.covered + READ_CONCURRENCY);
       const values = await this.valuesOf(group);
       for (const [index, id] of group.entries()) {
         const value = values[index];
-        if (value) answer.values.push([id, value]);
-        else if (isStateRecentEnough) this.reportMissing(answer, id);
+        if (value) response.values.push([id, value]);
+        else if (isStateRecentEnough) this.reportMissing(response, id);
         bytes += value?.length ?? 0;
       }
-      answer.covered += group.length;
+      response.covered += group.length;
     }
-    return answer;
+    return response;
   }
 
   /** Reports a turn without a readable value as expired or lost. A held but unreadable value is neither. */
@@ -145,23 +145,25 @@
     getsCopies: boolean,
   ): Promise<readonly LogEntry[]> {
     const turnsOf = entries.map((entry) => this.options.turnIdsInEntry(entry));
-    const referenced = entries.flatMap(({ index }, place) =>
-      turnsOf[place]!.map((turn): TurnReference => ({ turn, index })),
+    const referenced = entries.flatMap(({ index }, position) =>
+      turnsOf[position]!.map((turn): TurnReference => ({ turn, index })),
     );
     if (referenced.length === 0) return entries;
     if (getsCopies) await this.waitForCopies(referenced);
     // Serialized, since a leader that gets no response in time resends the same entries.
-    const obtained = this.pendingFetch.then(() => this.fetchReferenced(referenced, sources));
-    this.pendingFetch = obtained.catch(() => undefined);
-    await obtained;
-    return Promise.all(entries.map((entry, place) => this.attachValues(entry, turnsOf[place]!)));
+    const fetched = this.pendingFetch.then(() => this.fetchReferenced(referenced, sources));
+    this.pendingFetch = fetched.catch(() => undefined);
+    await fetched;
+    return Promise.all(
+      entries.map((entry, position) => this.attachValues(entry, turnsOf[position]!)),
+    );
   }
 
   noteLogged(entries: readonly LogEntry[]): void {
     const { turns } = this.options;
     for (const entry of entries) {
-      for (const [place, turn] of this.options.turnIdsInEntry(entry).entries()) {
-        const value = entry.attachments?.[place];
+      for (const [position, turn] of this.options.turnIdsInEntry(entry).entries()) {
+        const value = entry.attachments?.[position];
         if (value && value.length > 0) this.put(turn, value);
         turns.unreferenced.markLogged(turn, entry.index);
       }
@@ -179,8 +181,9 @@
 
   /** Drops unrecoverable values from `wanted`: waiting for them would keep a member from joining. */
   private abandonLost(lost: readonly string[], wanted: Set<string>): void {
-    const given = lost.filter((turn) => wanted.delete(turn));
-    if (given.length > 0) this.options.logger.error('kept turns lost', { turns: given.length });
+    const abandoned = lost.filter((turn) => wanted.delete(turn));
+    if (abandoned.length > 0)
+      this.options.logger.error('kept turns lost', { turns: abandoned.length });
   }
 
   private put(turn: string, value: Uint8Array): void {
@@ -203,9 +206,9 @@
     while (missing.length > 0) {
       const wanted = new Set(missing.map(({ turn }) => turn));
       await this.fetch(wanted, sources, missing.at(-1)!.index);
-      const left = missing.filter(({ turn }) => wanted.has(turn));
-      if (left.length === missing.length) throw missingError(wanted.size);
-      missing = left;
+      const remaining = missing.filter(({ turn }) => wanted.has(turn));
+      if (remaining.length === missing.length) throw missingError(wanted.size);
+      missing = remaining;
     }
   }
 
@@ -229,9 +232,9 @@
   private async waitForCopies(referenced: readonly TurnReference[]): Promise<void> {
     const deadlineMs = monotonicMs() + COPY_TIMEOUT_MS;
     for (;;) {
-      const leftMs = deadlineMs - monotonicMs();
-      if (leftMs <= 0 || this.missingOf(referenced).length === 0) return;
-      await this.copyArrived.waitWithTimeout(leftMs);
+      const remainingMs = deadlineMs - monotonicMs();
+      if (remainingMs <= 0 || this.missingOf(referenced).length === 0) return;
+      await this.copyArrived.waitWithTimeout(remainingMs);
     }
   }
 
@@ -248,7 +251,7 @@
     sources: readonly Member[],
     atIndex?: number,
   ): Promise<LossReports> {
-    const asked = wanted.size;
+    const requested = wanted.size;
     const reports = new LossReports();
     for (const source of sources) {
       if (wanted.size === 0) break;
@@ -260,13 +263,13 @@
         this.options.logger.warn('kept turns not fetched', { peer: source.address, cause });
       }
     }
-    this.logFetched(asked, wanted.size);
+    this.logFetched(requested, wanted.size);
     return reports;
   }
 
   /** Rate-limited, since a new member fetches values for each batch of entries. */
-  private logFetched(asked: number, missing: number): void {
-    this.fetched.asked += asked;
+  private logFetched(requested: number, missing: number): void {
+    this.fetched.asked += requested;
     this.fetched.missing += missing;
     const now = monotonicMs();
     if (now - this.lastLoggedAt < LOG_INTERVAL_MS) return;
@@ -286,19 +289,19 @@
     atIndex?: number,
   ): Promise<LossReport> {
     const report: LossReport = { answeredBy: undefined, lost: [] };
-    let waiting = [...wanted];
-    while (waiting.length > 0) {
-      const turns = waiting.slice(0, MAX_REQUESTED_TURNS);
-      const answer = await this.options.readTurnsAt(address, { turns, atIndex });
-      for (const [id, value] of answer.values) {
+    let remaining = [...wanted];
+    while (remaining.length > 0) {
+      const turns = remaining.slice(0, MAX_REQUESTED_TURNS);
+      const response = await this.options.readTurnsAt(address, { turns, atIndex });
+      for (const [id, value] of response.values) {
         await this.options.values.waitForRoom();
         this.put(id, value);
         wanted.delete(id);
       }
-      for (const id of answer.expired) wanted.delete(id);
-      report.answeredBy = answer.memberId;
-      report.lost.push(...answer.lost);
-      waiting = waiting.slice(Math.max(1, answer.covered));
+      for (const id of response.expired) wanted.delete(id);
+      report.answeredBy = response.memberId;
+      report.lost.push(...response.lost);
+      remaining = remaining.slice(Math.max(1, response.covered));
     }
     return report;
   }
