--- a/src/callers/attempt-commands.ts
+++ b/src/callers/attempt-commands.ts
@@ -1,4 +1,4 @@
-/** The journal commands by which attempts of a call come into being. */
+/** Builds the journal commands that start an attempt of a call. */
 import type { BeginCommand, CallRecord, RestartCommand } from '../journal/index.js';
 import { createAttemptToken } from './attempt-token.js';
 import type { CallContext, CallSpecification } from './call-context.js';
@@ -26,7 +26,7 @@
   };
 }
 
-/** @param neverRan whether this gateway knows that the lost attempt was taken nowhere */
+/** @param neverRan whether this gateway knows that no backend accepted the lost attempt */
 export function restartCommand(
   context: CallContext,
   specification: CallSpecification,
--- a/src/callers/attempt-token.ts
+++ b/src/callers/attempt-token.ts
@@ -2,7 +2,7 @@
 
 const TOKEN_BYTES = 12;
 
-/** A random token by which a gateway recognises its own attempt in the journal. */
+/** Creates a random token that lets a gateway recognize its own attempt in the journal. */
 export function createAttemptToken(): string {
   return randomBytes(TOKEN_BYTES).toString('hex');
 }
--- a/src/callers/call-context.ts
+++ b/src/callers/call-context.ts
@@ -1,4 +1,4 @@
-/** What carrying out calls needs of the gateway. */
+/** Dependencies and inputs of call execution. */
 import type { BackendTable, EngineClient, ServiceClient } from '../backends/index.js';
 import type { GatewayIdentity, CallRequest, JournalClient } from '../journal/index.js';
 import type { RetryBudget } from '../limits/index.js';
@@ -30,15 +30,15 @@
   resolveAddress: (address: string) => string;
 }
 
-/** One call as its caller asked for it. */
+/** A call as its caller requested it. */
 export interface CallSpecification {
   tenant: string;
   programId: string;
   sequence: number;
-  /** Raised by the caller each time it sends the call anew after `not_run`. */
+  /** Incremented by the caller each time it resubmits the call after `not_run`. */
   submission: number;
   requestHash: string;
   request: CallRequest;
-  /** The caller says that it sent this before, so the journal is asked first. */
+  /** Whether the caller has sent this request before, so that the journal is checked first. */
   isResend: boolean;
 }
--- a/src/callers/call-execution.ts
+++ b/src/callers/call-execution.ts
@@ -1,11 +1,11 @@
-/** One call under way in this gateway, shared by all copies of the request that reach it. */
+/** A call in progress in this gateway, shared by all duplicates of its request. */
 import { Deferred, SignalEvent } from '../common/index.js';
 import type { CallResult } from './call-result.js';
 
 export class CallExecution {
-  /** The answer so far. */
+  /** Text received so far. */
   text = '';
-  /** Raised each time the answer begins anew because an engine was lost. */
+  /** Incremented each time the text starts over because an engine was lost. */
   generation = 0;
   private readonly settled = new Deferred<CallResult>();
   private readonly progress = new SignalEvent();
@@ -15,7 +15,7 @@
     return this.settled.promise;
   }
 
-  /** The result once there is one. */
+  /** Undefined while the call is in progress. */
   get currentResult(): CallResult | undefined {
     return this.finalResult;
   }
@@ -26,7 +26,7 @@
     this.progress.notify();
   }
 
-  /** Drops the answer so far: another attempt may answer differently. */
+  /** Discards the text received so far, since another attempt may produce different text. */
   restart(): void {
     if (this.text.length === 0) return;
     this.text = '';
--- a/src/callers/call-problem.ts
+++ b/src/callers/call-problem.ts
@@ -1,4 +1,4 @@
-/** The problem documents by which callers learn that a call has no answer. */
+/** Maps the results of calls that have no answer to problem documents. */
 import { HttpProblem, type Problem, unknownOutcomeProblem } from '../http/index.js';
 import type { RefusalReason } from '../journal/index.js';
 import type { CallResult } from './call-result.js';
@@ -11,20 +11,23 @@
 const REFUSALS: Readonly<Record<RefusalReason, RefusalText>> = {
   'budget-exhausted': { status: 402, detail: 'the budget does not cover the call' },
   'out-of-order': { status: 409, detail: 'the call before this one is not settled' },
-  'call-in-progress': { status: 409, detail: 'another call of the program is under way' },
+  'call-in-progress': { status: 409, detail: 'another call of the program is in progress' },
   'program-ended': { status: 410, detail: 'the program has ended' },
-  'call-limit': { status: 422, detail: 'the program has made all the calls that it may make' },
-  'depth-limit': { status: 422, detail: 'sub-agents are nested too deep' },
+  'call-limit': { status: 422, detail: 'the program has reached its maximum number of calls' },
+  'depth-limit': { status: 422, detail: 'the maximum nesting depth of programs is exceeded' },
   looping: { status: 422, detail: 'the program repeats the same call too often' },
-  overloaded: { status: 429, detail: 'the back ends are busy' },
-  'no-backend': { status: 503, detail: 'no back end serves this' },
-  'no-lease': { status: 503, detail: 'this gateway may start no work now; try another' },
-  'backend-refused': { status: 503, detail: 'the back end did not take the call' },
+  overloaded: { status: 429, detail: 'all backends are at capacity' },
+  'no-backend': { status: 503, detail: 'no backend serves this model or service' },
+  'no-lease': { status: 503, detail: 'this gateway does not hold a lease; try another gateway' },
+  'backend-refused': { status: 503, detail: 'the backend did not accept the call' },
   'parent-unavailable': { status: 409, detail: 'the parent program does not exist or has ended' },
-  'refused-before': { status: 409, detail: 'this submission was refused; raise its number' },
+  'refused-before': {
+    status: 409,
+    detail: 'this submission was refused; resubmit with a higher number',
+  },
 };
 
-/** The problem that tells a caller of a result other than a complete answer. */
+/** Returns the problem that reports a result other than a completed call. */
 export function problemOf(result: Exclude<CallResult, { kind: 'completed' }>): HttpProblem {
   return new HttpProblem(problemDocument(result));
 }
@@ -64,20 +67,20 @@
     case 'journal-unavailable':
       return outcomePendingProblem(
         result.retryAfterMs,
-        'the journal cannot be reached; send the same submission again to learn the outcome',
+        'the journal is unreachable; resend the same submission to get the outcome',
       ).problem;
   }
 }
 
 /**
- * The same for programs that do not exist, for those of other tenants, and for those that were
- * forgotten long after their end; calls of the latter may have run.
+ * Reported alike for programs that do not exist, that belong to other tenants, or whose records have
+ * expired. The outcome is unknown because calls of expired programs may have run.
  */
 export function unknownProgramProblem(): HttpProblem {
   return unknownOutcomeProblem('no such program', 'unknown_program', 404);
 }
 
-/** The gateway cannot tell now; the same submission may be sent again, here or elsewhere. */
+/** The outcome is not known yet; the same submission may be resent to any gateway. */
 export function outcomePendingProblem(retryAfterMs: number, detail: string): HttpProblem {
   return new HttpProblem({
     status: 503,
--- a/src/callers/call-result.ts
+++ b/src/callers/call-result.ts
@@ -1,21 +1,21 @@
-/** How a call ends for its caller. */
+/** Result of a call as reported to its caller. */
 import type { EngineUsage } from '../backends/index.js';
 import type { RefusalReason } from '../journal/index.js';
 
 export type CallResult =
-  /** The recorded, complete answer. */
+  /** The call completed, and its answer is recorded. */
   | {
       kind: 'completed';
       answer: string;
       finishReason: string;
       /** Charged to the budget, in tokens. */
       cost: number;
-      /** Absent when the answer is read from the record. */
+      /** Absent when the answer was read from the journal. */
       usage?: EngineUsage;
     }
-  /** Settled, but nobody can tell whether it ran. */
+  /** The call is settled without knowing whether it ran. */
   | { kind: 'unknown'; detail: string }
-  /** It did not run, and no copy of this submission ever will. */
+  /** The call did not run, and no duplicate of this submission will run. */
   | {
       kind: 'not-run';
       reason: RefusalReason;
@@ -23,8 +23,8 @@
       nextSubmission: number;
       retryAfterMs?: number;
     }
-  /** Another request is recorded under this sequence number. */
+  /** A different request is recorded under this sequence number. */
   | { kind: 'conflict' }
   | { kind: 'unknown-program' }
-  /** The journal could not be reached; the call's fate will be known there. */
+  /** The journal was unreachable; the caller can query the outcome later. */
   | { kind: 'journal-unavailable'; retryAfterMs: number };
--- a/src/callers/call-runner.ts
+++ b/src/callers/call-runner.ts
@@ -1,4 +1,4 @@
-/** Carries out calls: shares one execution among the copies of a request, then runs it by kind. */
+/** Runs model and service calls; duplicates of a request share one execution. */
 import { describeError } from '../common/index.js';
 import { GroupUnavailableError } from '../consensus/index.js';
 import type { CallRecord } from '../journal/index.js';
@@ -22,7 +22,7 @@
     return this.executions.size;
   }
 
-  /** Starts a call, or joins the copy of it that is under way here. */
+  /** Starts a call, or returns the execution of a duplicate in progress. */
   start(specification: CallSpecification): CallExecution {
     const { tenant, programId, sequence, submission, requestHash } = specification;
     const key = `${tenant}|${programId}|${sequence}|${submission}|${requestHash}`;
@@ -47,7 +47,7 @@
         specification.request.kind === 'model'
           ? new ModelCall(this.context, specification, execution)
           : new ServiceCallRun(this.context, specification);
-      const known = specification.isResend ? await this.findKnown(specification) : undefined;
+      const known = specification.isResend ? await this.findRecord(specification) : undefined;
       if (known?.settled) return resultOfSettled(known);
       return known ? await run.follow(known) : await run.begin();
     } catch (error) {
@@ -59,8 +59,8 @@
     }
   }
 
-  /** The record of a call that was sent before, if it is the same request. */
-  private async findKnown(specification: CallSpecification): Promise<CallRecord | undefined> {
+  /** Returns the journal record of the call if it was recorded for the same request. */
+  private async findRecord(specification: CallSpecification): Promise<CallRecord | undefined> {
     const { programId, tenant, sequence, requestHash } = specification;
     const answer = await this.context.journal.readCall(programId, tenant, sequence);
     if (answer.status !== 'running' && answer.status !== 'settled') return undefined;
--- a/src/callers/caller-api.ts
+++ b/src/callers/caller-api.ts
@@ -1,4 +1,4 @@
-/** The callers' HTTP interface: programs, their calls, and plain chat completions. */
+/** HTTP API for callers: programs, their calls, and chat completions. */
 import type { ServerResponse } from 'node:http';
 import { GroupUnavailableError } from '../consensus/index.js';
 import {
@@ -54,7 +54,7 @@
 type OpenBody = ReturnType<typeof openProgramSchema.parse>;
 
 const IDEMPOTENCY_KEY = 'idempotency-key';
-const LONGEST_IDEMPOTENCY_KEY = 256;
+const MAX_IDEMPOTENCY_KEY_LENGTH = 256;
 
 export class CallerApi {
   readonly router = new HttpRouter();
@@ -63,7 +63,7 @@
     const pending =
       (handler: (exchange: HttpExchange) => Promise<void>) =>
       (exchange: HttpExchange): Promise<void> =>
-        orPending(handler.call(this, exchange));
+        mapUnavailableToPending(handler.call(this, exchange));
     this.router
       .on('POST', '/v1/programs', pending(this.openProgram))
       .on('GET', '/v1/programs/:program', pending(this.readProgram))
@@ -114,10 +114,10 @@
     };
     const wantsEvents = 'messages' in body && body.stream;
     const execution = this.options.runner.start(specification);
-    await this.answerCall(response, specification, execution, wantsEvents ? 0 : undefined);
+    await this.writeResult(response, specification, execution, wantsEvents ? 0 : undefined);
   }
 
-  /** Fetches a recorded answer again, or takes up the stream of a call under way. */
+  /** Returns a recorded answer, or resumes the stream of a call in progress. */
   private async readCall(exchange: HttpExchange): Promise<void> {
     const { request, response, parameters, query } = exchange;
     const tenant = this.options.tenants.authenticate(request);
@@ -144,10 +144,10 @@
       return;
     }
     const execution = this.options.runner.start(specification);
-    await this.answerCall(response, specification, execution, offset);
+    await this.writeResult(response, specification, execution, offset);
   }
 
-  /** A plain chat completion: a program of one call that ends with it. */
+  /** Runs a chat completion as a program with a single call. */
   private async completeChat({ request, response }: HttpExchange): Promise<void> {
     const tenant = this.options.tenants.authenticate(request);
     const { model, ...body } = parseBody(chatCompletionSchema, await this.readBody(request));
@@ -164,14 +164,14 @@
     };
     const execution = this.options.runner.start(specification);
     void execution.result.then((result) => {
-      // With a key, the caller may send a call again that did not run.
-      const mayComeAgain = key !== undefined && !isFinal(result);
-      if (!mayComeAgain) void this.end(program.id, tenant.id).catch(() => undefined);
+      // With an idempotency key, the caller may resubmit a call that did not run.
+      const mayBeResubmitted = key !== undefined && !isFinal(result);
+      if (!mayBeResubmitted) void this.end(program.id, tenant.id).catch(() => undefined);
     });
-    await this.answerCall(response, specification, execution, body.stream ? 0 : undefined);
+    await this.writeResult(response, specification, execution, body.stream ? 0 : undefined);
   }
 
-  private async answerCall(
+  private async writeResult(
     response: ServerResponse,
     specification: CallSpecification,
     execution: CallExecution,
@@ -191,7 +191,7 @@
   ): Promise<ProgramSummary> {
     const { context } = this.options;
     if (!context.lease.isHeld) {
-      throw outcomePendingProblem(JOURNAL_RETRY_AFTER_MS, 'this gateway may start no work now');
+      throw outcomePendingProblem(JOURNAL_RETRY_AFTER_MS, 'this gateway does not hold a lease');
     }
     const command = this.openCommand(tenant, body, idempotencyKey);
     const answer = await context.journal.open(command);
@@ -310,19 +310,22 @@
 function readIdempotencyKey(header: string | string[] | undefined): string | undefined {
   if (header === undefined) return undefined;
   const isUsable = typeof header === 'string' && header.length > 0;
-  if (!isUsable || header.length > LONGEST_IDEMPOTENCY_KEY) {
-    throw badRequestProblem(`Idempotency-Key must have 1 to ${LONGEST_IDEMPOTENCY_KEY} characters`);
+  if (!isUsable || header.length > MAX_IDEMPOTENCY_KEY_LENGTH) {
+    throw badRequestProblem(
+      `Idempotency-Key must have 1 to ${MAX_IDEMPOTENCY_KEY_LENGTH} characters`,
+    );
   }
   return header;
 }
 
 function parseOffset(text: string): number {
   const offset = Number(text);
-  if (!Number.isInteger(offset) || offset < 0) throw badRequestProblem('from must be a position');
+  if (!Number.isInteger(offset) || offset < 0)
+    throw badRequestProblem('from must be a non-negative integer');
   return offset;
 }
 
-async function orPending(work: Promise<void>): Promise<void> {
+async function mapUnavailableToPending(work: Promise<void>): Promise<void> {
   try {
     await work;
   } catch (error) {
--- a/src/callers/engine-stream-reader.ts
+++ b/src/callers/engine-stream-reader.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the stream of one attempt from its engine: sends the attempt, or takes a stream up again
- * where it stopped, until it has ended or the engine is lost.
+ * Reads the response stream of one attempt from its engine: sends the attempt or resumes an interrupted
+ * stream, until the stream has ended or the engine is lost.
  */
 import {
   type Backend,
@@ -18,19 +18,19 @@
 import type { CallContext, CallSpecification } from './call-context.js';
 import type { CallExecution } from './call-execution.js';
 
-/** How streaming one attempt ended. */
+/** Result of streaming one attempt. */
 export type StreamEnd =
   | { kind: 'finished'; end: EngineStreamEnd }
-  /** `neverRan`: the engine certainly did not take the attempt. */
+  /** `neverRan`: the engine is known not to have accepted the attempt. */
   | { kind: 'lost'; neverRan: boolean }
   | { kind: 'fenced' };
 
-const RESUME_PAUSE_MS = 50;
+const RESUME_DELAY_MS = 50;
 
 export interface EngineStreamReaderOptions {
   context: CallContext;
   specification: CallSpecification;
-  /** Takes the text as it comes. */
+  /** Receives the streamed text. */
   execution: CallExecution;
   /** Monotonic time at which the call arrived, in milliseconds. */
   arrivedAt: number;
@@ -47,12 +47,12 @@
     this.execution = options.execution;
   }
 
-  /** Sends an attempt that the journal has begun, and reads its stream. */
+  /** Sends an attempt that is recorded in the journal, and reads its stream. */
   readDispatched(backend: Backend, begun: BegunResult): Promise<StreamEnd> {
     return this.read(backend, begun.call, () => this.dispatch(begun, backend));
   }
 
-  /** Takes up the stream of an attempt that was sent before. */
+  /** Resumes the stream of an attempt that was sent before. */
   readResumed(backend: Backend, call: CallRecord): Promise<StreamEnd> {
     return this.read(backend, call, () => this.resume(backend, call));
   }
@@ -69,7 +69,7 @@
       prefixTokens: begun.promptTokens,
       callCount: sequence,
     });
-    // The last thing before sending: a gateway that was frozen meanwhile must not go on.
+    // Checked right before sending, because the process may have been paused until its lease expired.
     if (!context.lease.isHeld) throw new LeaseLostError();
     yield* context.engines.complete(context.resolveAddress(backend.intent.address), {
       tenant,
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Reads an attempt's stream to its end. A broken stream is resumed until the engine has been out
-   * of reach for the grace time, or says that it does not know the stream.
+   * Reads an attempt's stream to its end. Resumes a broken stream until the engine has been unreachable
+   * for the grace period, or reports that it does not know the stream.
    */
   private async read(
     backend: Backend,
@@ -103,7 +103,7 @@
     open: () => AsyncGenerator<EngineChunk>,
   ): Promise<StreamEnd> {
     const graceMs = this.context.settings.calls.takeoverGrace;
-    let giveUpAt = monotonicMs() + graceMs;
+    let deadline = monotonicMs() + graceMs;
     let source = open;
     let mayHaveRun = false;
     for (;;) {
@@ -122,10 +122,10 @@
         if (!mayHaveRun) return { kind: 'lost', neverRan: true };
         if (error instanceof StreamUnknownError) return { kind: 'lost', neverRan: false };
         if (error instanceof BackendProtocolError) this.execution.restart();
-        if (this.execution.text.length > lengthBefore) giveUpAt = monotonicMs() + graceMs;
-        if (monotonicMs() >= giveUpAt) return { kind: 'lost', neverRan: false };
+        if (this.execution.text.length > lengthBefore) deadline = monotonicMs() + graceMs;
+        if (monotonicMs() >= deadline) return { kind: 'lost', neverRan: false };
       }
-      await sleep(RESUME_PAUSE_MS);
+      await sleep(RESUME_DELAY_MS);
       this.context.metrics.resumedStreams.inc();
       source = () => this.resume(backend, call);
     }
@@ -146,7 +146,10 @@
       this.execution.append(chunk.text);
       if (chunk.end) return chunk.end;
     }
-    throw new BackendLostError('no last piece', { step: 'engine.stream', peer: backend.id });
+    throw new BackendLostError('stream ended without a final chunk', {
+      step: 'engine.stream',
+      peer: backend.id,
+    });
   }
 
   private noteError(backend: Backend, error: BackendError): void {
@@ -157,5 +160,5 @@
   }
 }
 
-/** The configuration lease ran out before the attempt was sent. */
+/** The configuration lease expired before the attempt was sent. */
 class LeaseLostError extends Error {}
--- a/src/callers/history-cache.ts
+++ b/src/callers/history-cache.ts
@@ -1,20 +1,20 @@
-/** Histories of programs as this gateway last read them; the journal has the truth. */
+/** Caches program histories; the journal holds the authoritative copy. */
 import { LRUCache } from 'lru-cache';
 import { type ChatMessage, LedgegaugeError, countMessageTokens } from '../common/index.js';
 import type { HistoryTurn, JournalClient } from '../journal/index.js';
 
-/** The journal's history does not fit what it said of it; nothing was sent. */
+/** The history read from the journal does not have the token count recorded there; nothing was sent. */
 export class HistoryMismatchError extends LedgegaugeError {}
 
 interface CachedHistory {
-  /** All calls up to this sequence number are in it. */
+  /** Sequence number of the last call included. */
   throughSequence: number;
   messages: ChatMessage[];
   tokens: number;
   characters: number;
 }
 
-/** Assumed memory of a message beside its text, in bytes. */
+/** Estimated memory of a message in addition to its text. */
 const MESSAGE_OVERHEAD_BYTES = 100;
 
 export class HistoryCache {
@@ -32,9 +32,9 @@
   }
 
   /**
-   * The messages of a program's history before call `sequence`.
-   * @param expectedTokens how many tokens the journal counts in it
-   * @throws HistoryMismatchError when even the journal's own copy does not have as many
+   * Returns the messages of a program's history before call `sequence`.
+   * @param expectedTokens token count of the history according to the journal
+   * @throws HistoryMismatchError when the history reread from the journal has another token count
    */
   async read(
     programId: string,
@@ -56,7 +56,7 @@
     });
   }
 
-  /** Adds a settled call to a history that is current up to the call before. */
+  /** Appends a settled call if the cached history ends with the call before it. */
   append(programId: string, turn: HistoryTurn): void {
     const cached = this.cache.get(programId) ?? emptyHistory();
     if (cached.throughSequence !== turn.sequence - 1) return;
--- a/src/callers/index.ts
+++ b/src/callers/index.ts
@@ -1,4 +1,4 @@
-/** Callers: their HTTP interface and the carrying out of their calls. */
+/** HTTP API for callers and the execution of their calls. */
 export type { CallContext, CallSpecification } from './call-context.js';
 export { CallRunner } from './call-runner.js';
 export { CallerApi } from './caller-api.js';
--- a/src/callers/model-call.ts
+++ b/src/callers/model-call.ts
@@ -1,7 +1,7 @@
 /**
- * One model call, from admission to its settled answer: an attempt is recorded in the journal, sent
- * to an engine and streamed; a broken stream is taken up again where it stopped; an engine that is
- * lost is replaced by a new attempt elsewhere; a call under way at another gateway is followed.
+ * Runs one model call from admission to settlement: records an attempt in the journal, sends it to an
+ * engine and streams the response. Broken streams are resumed, a lost engine is replaced by a new attempt
+ * on another one, and a call in progress at another gateway is followed.
  */
 import type { Backend, EngineStreamEnd } from '../backends/index.js';
 import { countMessageTokens, monotonicMs } from '../common/index.js';
@@ -46,7 +46,6 @@
     });
   }
 
-  /** Runs the call from the beginning. */
   async begin(): Promise<CallResult> {
     const { context, specification } = this;
     const { programId, tenant } = specification;
@@ -67,7 +66,7 @@
     }
   }
 
-  /** Goes along with an attempt that another gateway began, and takes over if that one is gone. */
+  /** Follows an attempt that another gateway started, and takes over if that gateway is lost. */
   async follow(call: CallRecord): Promise<CallResult> {
     const { context, specification } = this;
     context.metrics.followedCalls.inc();
@@ -132,7 +131,7 @@
     return this.serve(answer, admission.backend);
   }
 
-  /** Streams a begun attempt and settles the call. */
+  /** Streams an attempt that is recorded in the journal, and settles the call. */
   private async serve(begun: BegunResult, backend: Backend): Promise<CallResult> {
     const end = await this.streams.readDispatched(backend, begun);
     if (end.kind === 'finished') {
@@ -150,7 +149,7 @@
     return this.waitForSuccessor();
   }
 
-  /** Begins another attempt elsewhere in place of a lost one. */
+  /** Replaces a lost attempt by a new one on another engine. */
   private async replaceAttempt(lost: CallRecord, neverRan: boolean): Promise<CallResult> {
     const { context, specification } = this;
     const { programId, tenant } = specification;
@@ -177,7 +176,7 @@
     return Promise.resolve(resultOfFinalAnswer(this.specification, answer));
   }
 
-  /** Ends a call that cannot be run now: as not run if that is certain, else as unknown. */
+  /** Ends a call that cannot be retried: as not run if that is certain, otherwise as unknown. */
   private async giveUp(lost: CallRecord, neverRan: boolean): Promise<CallResult> {
     const { context, specification } = this;
     const { programId, tenant, sequence } = specification;
@@ -199,7 +198,7 @@
     return (await settle(context, specification, finish)) ?? this.waitForSuccessor();
   }
 
-  /** A newer attempt exists: its end is this call's end. */
+  /** Waits for the newer attempt that fenced this one; its result is the call's result. */
   private async waitForSuccessor(): Promise<CallResult> {
     const { journal } = this.context;
     const { programId, tenant, sequence } = this.specification;
@@ -235,7 +234,7 @@
     if (this.hint.prefix) context.prefixes.note(backend.id, this.hint.prefix);
   }
 
-  /** The first message of the first call is what programs of a tenant share. */
+  /** Uses the first message of the first call as the prefix that programs of a tenant share. */
   private notePrefix(): void {
     const { tenant, sequence, request } = this.specification;
     const [first] = request.messages;
--- a/src/callers/program-hints.ts
+++ b/src/callers/program-hints.ts
@@ -1,4 +1,4 @@
-/** What this gateway remembers of programs, for routing and holds only; never for correctness. */
+/** Caches facts about programs for routing and cache retention; correctness does not depend on them. */
 import { LRUCache } from 'lru-cache';
 import { monotonicMs } from '../common/index.js';
 import type { PromptPrefix } from '../routing/index.js';
@@ -7,10 +7,10 @@
 export interface ProgramHint {
   model: string;
   previousBackend: string | undefined;
-  /** Tokens of the history, which the previous back end computed last. */
+  /** Tokens of the history, which the previous backend is likely to have cached. */
   historyTokens: number;
   attainedService: number;
-  /** The beginning that the program's prompts share with others', once its first call was seen. */
+  /** Prompt prefix shared with other programs; set by the first call. */
   prefix?: PromptPrefix;
   /** Monotonic time at which its last call ended here, in milliseconds. */
   lastCallEndedMs: number | undefined;
@@ -23,7 +23,7 @@
 
   constructor(private readonly journal: JournalClient) {}
 
-  /** The program's hint, read from the journal if need be; undefined when there is no program. */
+  /** Returns the program's hint, read from the journal if not cached; undefined for an unknown program. */
   async get(programId: string, tenant: string): Promise<ProgramHint | undefined> {
     const known = this.hints.get(hintKey(programId, tenant));
     if (known) return known;
--- a/src/callers/request-schemas.ts
+++ b/src/callers/request-schemas.ts
@@ -1,4 +1,4 @@
-/** Bodies and headers that callers send. */
+/** Schemas and parsers for the bodies and headers of callers' requests. */
 import type { IncomingMessage } from 'node:http';
 import { z } from 'zod';
 import { sha256Hex } from '../common/index.js';
@@ -41,7 +41,7 @@
     operation: z.string().min(1).max(64),
     payload: z.string().max(1024 * 1024),
   }),
-  /** Whether running the call twice does no harm. */
+  /** Whether the call may safely run more than once. */
   repeatable: z.boolean(),
 });
 
@@ -55,7 +55,7 @@
 export type ModelCallBody = z.infer<typeof modelCallSchema>;
 export type ServiceCallBody = z.infer<typeof serviceCallSchema>;
 
-/** Checks a body. @throws HttpProblem naming every path that is wrong */
+/** Validates a body. @throws HttpProblem listing every invalid path */
 export function parseBody<Schema extends z.ZodType>(
   schema: Schema,
   body: unknown,
@@ -68,7 +68,7 @@
   throw badRequestProblem(lines.join('; '), 'invalid_body', 422);
 }
 
-/** Reads a call's sequence number from the path. @throws HttpProblem */
+/** Parses the sequence number in a call's path. @throws HttpProblem */
 export function parseSequence(text: string): number {
   const sequence = Number(text);
   if (!Number.isInteger(sequence) || sequence < 1 || sequence > MAX_SEQUENCE) {
@@ -77,12 +77,12 @@
   return sequence;
 }
 
-/** Reads the submission number of a call. @default 1 */
+/** Parses the submission number of a call, 1 if the header is missing. @throws HttpProblem */
 export function parseSubmission(request: IncomingMessage): number {
   const header = request.headers['ledgegauge-submission'] ?? '1';
   const submission = Number(header);
   if (!Number.isInteger(submission) || submission < 1) {
-    throw badRequestProblem('Ledgegauge-Submission must be a whole number from 1');
+    throw badRequestProblem('Ledgegauge-Submission must be a positive integer');
   }
   return submission;
 }
@@ -91,7 +91,7 @@
   return request.headers['ledgegauge-resend'] === 'true';
 }
 
-/** Identity of a call's content, however it is delivered. */
+/** Hashes a call's content, independent of how its result is delivered. */
 export function hashRequest(body: ModelCallBody | ServiceCallBody): string {
   const content =
     'messages' in body
--- a/src/callers/response-writer.ts
+++ b/src/callers/response-writer.ts
@@ -1,4 +1,4 @@
-/** Writes a call's answer to its caller: as one JSON document or as server-sent events. */
+/** Writes the result of a call to the HTTP response: as one JSON document or as server-sent events. */
 import type { ServerResponse } from 'node:http';
 import type { EngineUsage } from '../backends/index.js';
 import { formatEvent, problemBody, sendJson } from '../http/index.js';
@@ -6,7 +6,7 @@
 import type { CallResult } from './call-result.js';
 import { problemOf } from './call-problem.js';
 
-/** What the answer's documents name. */
+/** Fields that every response document repeats. */
 export interface ResponseMetadata {
   program: string;
   sequence: number;
@@ -15,7 +15,7 @@
 
 type CompletedResult = Extract<CallResult, { kind: 'completed' }>;
 
-/** Answers with one document once the call is settled. @throws HttpProblem */
+/** Sends one document once the call is settled. @throws HttpProblem when the call has not completed */
 export async function writeJsonResponse(
   response: ServerResponse,
   execution: CallExecution,
@@ -28,7 +28,7 @@
 
 export function completionDocument(subject: ResponseMetadata, result: CompletedResult): object {
   return {
-    id: answerId(subject),
+    id: completionId(subject),
     object: 'chat.completion',
     model: subject.model,
     choices: [
@@ -44,8 +44,8 @@
 }
 
 /**
- * Streams the answer from character `offset` on. The end is sent only after the call is settled in
- * the journal; a problem before the first piece is answered as a plain problem document.
+ * Streams the answer as events, from character `offset` on. The last event is sent only after the call
+ * is settled in the journal. A failure before the first event is sent as a problem document.
  */
 export async function writeEventStream(
   response: ServerResponse,
@@ -61,14 +61,14 @@
     await progress;
   }
   const result = execution.currentResult;
-  if (result.kind === 'completed') writer.writeEnd(result);
+  if (result.kind === 'completed') writer.writeCompletion(result);
   else writer.writeProblem(result);
 }
 
 class EventWriter {
   private generation = 0;
-  /** A piece's JSON up to its text; only the text differs from piece to piece. */
-  private readonly pieceStart: string;
+  /** JSON of a chunk up to its text; only the text differs between chunks. */
+  private readonly chunkPrefix: string;
 
   constructor(
     private readonly response: ServerResponse,
@@ -76,8 +76,8 @@
     private sent: number,
   ) {
     const { model } = subject;
-    const head = { id: answerId(subject), object: 'chat.completion.chunk', model };
-    this.pieceStart = `${JSON.stringify(head).slice(0, -1)},"choices":[{"index":0,"delta":{"content":`;
+    const head = { id: completionId(subject), object: 'chat.completion.chunk', model };
+    this.chunkPrefix = `${JSON.stringify(head).slice(0, -1)},"choices":[{"index":0,"delta":{"content":`;
   }
 
   async writeProgress(execution: CallExecution): Promise<void> {
@@ -91,14 +91,14 @@
     });
   }
 
-  writeEnd(result: CompletedResult): void {
-    // The record is the truth: what was streamed must be its beginning.
+  writeCompletion(result: CompletedResult): void {
+    // The recorded answer is authoritative: restart if it is shorter than what was streamed.
     if (result.answer.length < this.sent) this.writeRestart(this.generation + 1);
     if (result.answer.length > this.sent) this.writeText(result.answer);
     this.writeHead();
     const { subject } = this;
-    const last = {
-      id: answerId(subject),
+    const finalChunk = {
+      id: completionId(subject),
       object: 'chat.completion.chunk',
       model: subject.model,
       choices: [{ index: 0, delta: {}, finish_reason: result.finishReason }],
@@ -106,7 +106,7 @@
       ledgegauge: { ...subject, outcome: 'completed', cost: result.cost },
     };
     const id = String(result.answer.length);
-    this.response.write(formatEvent({ id, data: JSON.stringify(last) }));
+    this.response.write(formatEvent({ id, data: JSON.stringify(finalChunk) }));
     this.response.end(formatEvent({ data: '[DONE]' }));
   }
 
@@ -116,7 +116,7 @@
     this.response.end(formatEvent({ event: 'problem', data: problemBody(problem.problem) }));
   }
 
-  /** Tells the caller to forget the answer so far. */
+  /** Tells the caller to discard the text received so far. */
   private writeRestart(generation: number): void {
     this.generation = generation;
     this.sent = 0;
@@ -128,7 +128,7 @@
     this.writeHead();
     const content = JSON.stringify(text.slice(this.sent));
     this.sent = text.length;
-    const data = `${this.pieceStart}${content}},"finish_reason":null}]}`;
+    const data = `${this.chunkPrefix}${content}},"finish_reason":null}]}`;
     this.response.write(formatEvent({ id: String(this.sent), data }));
   }
 
@@ -141,7 +141,7 @@
   }
 }
 
-function answerId(subject: ResponseMetadata): string {
+function completionId(subject: ResponseMetadata): string {
   return `${subject.program}#${subject.sequence}`;
 }
 
--- a/src/callers/service-call-run.ts
+++ b/src/callers/service-call-run.ts
@@ -1,7 +1,6 @@
 /**
- * One call to a small service. A call that may not be repeated is sent at most once: after its
- * begin is recorded, nobody but the gateway that began it sends it, and when its fate cannot be
- * learnt, it is settled as unknown.
+ * Runs one service call. A call that is not repeatable is sent at most once: only the gateway that
+ * recorded its begin sends it, and if the outcome cannot be determined, it is settled as unknown.
  */
 import { BackendError } from '../backends/index.js';
 import { Backoff, monotonicMs, sleep } from '../common/index.js';
@@ -14,20 +13,20 @@
 
 type Admitted = Extract<AdmissionResult, { kind: 'admitted' }>;
 
-/** Charged for one service call, in tokens. */
+/** In tokens. */
 export const SERVICE_CALL_COST = 1;
 const MAX_ATTEMPTS = 6;
-/** First attempts of a repeatable call, which get less time. */
-const SHORT_ATTEMPTS = 4;
-const FIRST_RETRY_DELAY_MS = 25;
+/** Number of attempts of a repeatable call that use the short timeout. */
+const SHORT_TIMEOUT_ATTEMPTS = 4;
+const INITIAL_RETRY_DELAY_MS = 25;
 const MAXIMUM_RETRY_DELAY_MS = 400;
-/** Longest time from the journal's begin to the dispatch; a frozen gateway exceeds it. */
+/** Maximum time from proposing the begin to the dispatch; exceeded when the process was paused. */
 const DISPATCH_WINDOW_MS = 1_000;
 
 export class ServiceCallRun {
   private readonly excluded = new Set<string>();
   private readonly backoff = new Backoff({
-    initialMs: FIRST_RETRY_DELAY_MS,
+    initialMs: INITIAL_RETRY_DELAY_MS,
     maximumMs: MAXIMUM_RETRY_DELAY_MS,
   });
 
@@ -56,15 +55,15 @@
     }
   }
 
-  /** Waits for the gateway that began the call; settles it when that one must have given up. */
+  /** Waits for the gateway that started the call; settles the call once that gateway must have timed out. */
   async follow(call: CallRecord): Promise<CallResult> {
     const { context, specification } = this;
     context.metrics.followedCalls.inc();
     const { programId, tenant, sequence, request } = specification;
     const { serviceTimeout, takeoverGrace } = context.settings.calls;
-    // What may run twice is taken over soon; the rest must have had all the time there is.
-    const patienceMs = request.isRepeatable ? 0 : DISPATCH_WINDOW_MS + serviceTimeout;
-    const waitMs = patienceMs + takeoverGrace;
+    // A repeatable call is taken over early, any other only after its attempt must have timed out.
+    const attemptTimeoutMs = request.isRepeatable ? 0 : DISPATCH_WINDOW_MS + serviceTimeout;
+    const waitMs = attemptTimeoutMs + takeoverGrace;
     const answer = await context.journal.awaitSettled(programId, tenant, sequence, waitMs);
     if (answer.status === 'unknown-call') return this.refuse('backend-refused');
     if (answer.status !== 'running') return resultOfFinalAnswer(specification, answer);
@@ -123,11 +122,11 @@
     }
   }
 
-  /** What may run twice is soon tried elsewhere; its last tries get all the time there is. */
+  /** Returns a short timeout for early attempts of a repeatable call, so that it is retried elsewhere soon. */
   private timeoutOf(attempt: number): number {
     const { serviceTimeout, serviceTryTimeout } = this.context.settings.calls;
     const { isRepeatable } = this.specification.request;
-    return isRepeatable && attempt <= SHORT_ATTEMPTS ? serviceTryTimeout : serviceTimeout;
+    return isRepeatable && attempt <= SHORT_TIMEOUT_ATTEMPTS ? serviceTryTimeout : serviceTimeout;
   }
 
   private async settleAnswer(call: CallRecord, answer: string): Promise<CallResult> {
@@ -141,7 +140,7 @@
     return result ?? this.follow(call);
   }
 
-  /** Another attempt if that can do no harm; else the end of the call. */
+  /** Starts another attempt if the call is repeatable; otherwise ends the call. */
   private async retry(call: CallRecord, neverRan: boolean): Promise<CallResult> {
     const { context, specification } = this;
     const { request } = specification;
--- a/src/callers/settlement.ts
+++ b/src/callers/settlement.ts
@@ -1,4 +1,4 @@
-/** Turns what the journal says into what a caller is told, and settles calls there. */
+/** Converts journal results to call results, and settles calls in the journal. */
 import { monotonicMs, sleep } from '../common/index.js';
 import { GroupUnavailableError } from '../consensus/index.js';
 import type { EngineUsage } from '../backends/index.js';
@@ -14,14 +14,14 @@
 import type { CallContext, CallSpecification } from './call-context.js';
 import type { CallResult } from './call-result.js';
 
-/** When a caller may come back after the journal was out of reach, in milliseconds. */
+/** Retry delay suggested to callers when the journal is unreachable. */
 export const JOURNAL_RETRY_AFTER_MS = 500;
 const DEFAULT_RETRY_AFTER_MS = 200;
-/** How long a finished answer is tried to be recorded before the caller is told to come back. */
-const FINISH_PATIENCE_MS = 6_000;
-const FINISH_RETRY_MS = 50;
-/** How long a gateway without a lease tries to reach the journal. */
-const NO_LEASE_PATIENCE_MS = 400;
+/** How long recording a finished answer is retried before the caller is told to retry later. */
+const FINISH_TIMEOUT_MS = 6_000;
+const FINISH_RETRY_DELAY_MS = 50;
+/** Timeout for requests to the journal while the gateway holds no lease. */
+const NO_LEASE_TIMEOUT_MS = 400;
 
 export function resultOfSettled(call: CallRecord, usage?: EngineUsage): CallResult {
   const settled = call.settled!;
@@ -30,8 +30,8 @@
   return { kind: 'completed', answer, finishReason, cost, usage };
 }
 
-/** Reasons that may pass by themselves after a while. */
-const WAIT_REASONS: ReadonlySet<RefusalReason> = new Set<RefusalReason>([
+/** Transient reasons, for which a retry after a delay may succeed. */
+const TRANSIENT_REASONS: ReadonlySet<RefusalReason> = new Set<RefusalReason>([
   'overloaded',
   'no-backend',
   'no-lease',
@@ -44,13 +44,13 @@
   refused: RefusedResult,
   retryAfterMs?: number,
 ): CallResult {
-  const mayWait = WAIT_REASONS.has(refused.reason);
+  const isTransient = TRANSIENT_REASONS.has(refused.reason);
   return {
     kind: 'not-run',
     reason: refused.reason,
     canSendAgain: refused.canSendAgain,
     nextSubmission: specification.submission + 1,
-    retryAfterMs: retryAfterMs ?? (mayWait ? DEFAULT_RETRY_AFTER_MS : undefined),
+    retryAfterMs: retryAfterMs ?? (isTransient ? DEFAULT_RETRY_AFTER_MS : undefined),
   };
 }
 
@@ -73,9 +73,9 @@
 }
 
 /**
- * Records that a submission shall never run, so that the caller can be told so.
- * @returns undefined when the call turned out to be under way already
- * @throws GroupUnavailableError when the journal cannot be reached
+ * Records that a submission will never run, so that this can be reported to the caller.
+ * @returns the call's record when the call is in progress already
+ * @throws GroupUnavailableError when the journal is unreachable
  */
 export async function refuse(
   context: CallContext,
@@ -85,8 +85,8 @@
 ): Promise<CallResult | CallRecord> {
   const { programId, tenant, sequence, submission } = specification;
   const command = { type: 'refuse' as const, programId, tenant, sequence, submission, reason };
-  // Without a lease the journal is likely out of reach too; the caller is better off elsewhere.
-  const timeoutMs = reason === 'no-lease' ? NO_LEASE_PATIENCE_MS : undefined;
+  // Without a lease the journal is probably unreachable too, so that the caller should try another gateway soon.
+  const timeoutMs = reason === 'no-lease' ? NO_LEASE_TIMEOUT_MS : undefined;
   const answer = await context.journal.refuse(command, timeoutMs);
   if (answer.status === 'running') return answer.call;
   if (answer.status === 'refused') {
@@ -102,15 +102,15 @@
   answer: string;
   cost: number;
   finishReason: string;
-  /** Engines that were used for the call here. @default none */
+  /** Engines that this gateway used for the call. @default none */
   backends?: string[];
   usage?: EngineUsage;
 }
 
 /**
- * Settles a call in the journal; whoever settled it first has said the truth.
- * @returns undefined when the attempt was fenced by a newer one that is still under way
- * @throws GroupUnavailableError when the journal stayed out of reach
+ * Settles a call in the journal; the first settlement is authoritative.
+ * @returns undefined when the attempt was fenced by a newer one that is still in progress
+ * @throws GroupUnavailableError when the journal stays unreachable
  */
 export async function settle(
   context: CallContext,
@@ -127,7 +127,7 @@
     backends,
     ...outcome,
   };
-  const deadline = monotonicMs() + FINISH_PATIENCE_MS;
+  const deadline = monotonicMs() + FINISH_TIMEOUT_MS;
   for (;;) {
     try {
       const answer = await context.journal.finish(command);
@@ -136,7 +136,7 @@
       return resultOfFinalAnswer(specification, answer);
     } catch (error) {
       if (!(error instanceof GroupUnavailableError) || monotonicMs() >= deadline) throw error;
-      await sleep(FINISH_RETRY_MS);
+      await sleep(FINISH_RETRY_DELAY_MS);
     }
   }
 }
