--- a/src/gateway/gateway-process.ts
+++ b/src/gateway/gateway-process.ts
@@ -1,4 +1,4 @@
-/** The gateway process: everything between a caller and the back ends, holding nothing that lasts. */
+/** Gateway process: serves callers and forwards their calls to backends; keeps no durable state. */
 import { randomBytes } from 'node:crypto';
 import {
   BackendTable,
@@ -111,7 +111,7 @@
     return gateway;
   }
 
-  /** Takes no new connections, finishes the requests under way, then closes everything. */
+  /** Drains the HTTP server, then closes everything. */
   async stop(): Promise<void> {
     this.isStopping = true;
     await this.server.drain();
@@ -142,7 +142,7 @@
     });
   }
 
-  /** Whether the gateway may act on its configuration. */
+  /** Whether the gateway holds a lease and has a configuration. */
   private get isCurrent(): boolean {
     const { lease } = this.context;
     return lease.isHeld && lease.revision > 0;
