--- a/src/http/backend-socket.test.ts
+++ b/src/http/backend-socket.test.ts
@@ -1,4 +1,4 @@
-/** How a connection to a back end ends, as its reader sees it. */
+/** A reset connection must not look like the orderly end of a response. */
 import { type AddressInfo, type Socket, createServer } from 'node:net';
 import { describe, expect, it, onTestFinished } from 'vitest';
 import { ConnectionResetError, backendConnector } from './backend-socket.js';
@@ -6,14 +6,14 @@
 const HOST = '127.0.0.1';
 const REPEATS = 30;
 
-interface Ending {
+interface ConnectionEnd {
   received: string;
   hasEnded: boolean;
   error: Error | undefined;
 }
 
-/** Asks a peer that answers by `serve`, and reads until the connection is over. */
-async function endingOf(serve: (socket: Socket) => void): Promise<Ending> {
+/** Connects to a server that responds with `serve`, and reads until the connection is closed. */
+async function readUntilClosed(serve: (socket: Socket) => void): Promise<ConnectionEnd> {
   const server = createServer((socket) => {
     socket.on('error', () => undefined);
     socket.once('data', () => serve(socket));
@@ -23,29 +23,29 @@
   const { port } = server.address() as AddressInfo;
   const connect = backendConnector(1_000);
   return new Promise((resolve, reject) => {
-    const ending: Ending = { received: '', hasEnded: false, error: undefined };
+    const result: ConnectionEnd = { received: '', hasEnded: false, error: undefined };
     connect({ hostname: HOST, port: String(port), protocol: 'http:' }, (error, socket) => {
       if (error) return reject(error);
-      socket.on('data', (chunk: Buffer) => (ending.received += chunk.toString()));
-      socket.on('end', () => (ending.hasEnded = true));
-      socket.on('error', (failure: Error) => (ending.error = failure));
-      socket.on('close', () => resolve(ending));
+      socket.on('data', (chunk: Buffer) => (result.received += chunk.toString()));
+      socket.on('end', () => (result.hasEnded = true));
+      socket.on('error', (cause: Error) => (result.error = cause));
+      socket.on('close', () => resolve(result));
       socket.write('question');
     });
   });
 }
 
-describe('a connection to a back end', () => {
-  it('that the peer closes ends, with all that was sent', async () => {
+describe('BackendSocket', () => {
+  it('delivers all data and ends when the peer closes the connection', async () => {
     for (let round = 0; round < REPEATS; round += 1) {
-      const ending = await endingOf((socket) => socket.end('whole'));
-      expect(ending).toEqual({ received: 'whole', hasEnded: true, error: undefined });
+      const result = await readUntilClosed((socket) => socket.end('whole'));
+      expect(result).toEqual({ received: 'whole', hasEnded: true, error: undefined });
     }
   });
 
-  it('that is reset together with its last bytes fails, and does not end', async () => {
+  it('fails without ending when a reset arrives with the last bytes', async () => {
     for (let round = 0; round < REPEATS; round += 1) {
-      const { hasEnded, error } = await endingOf((socket) => {
+      const { hasEnded, error } = await readUntilClosed((socket) => {
         socket.write('part');
         socket.resetAndDestroy();
       });
@@ -54,8 +54,8 @@
     }
   });
 
-  it('that is reset later fails as well', async () => {
-    const { hasEnded, error } = await endingOf((socket) => {
+  it('fails without ending when a reset arrives later', async () => {
+    const { hasEnded, error } = await readUntilClosed((socket) => {
       socket.write('part');
       setTimeout(() => socket.resetAndDestroy(), 20);
     });
--- a/src/http/backend-socket.ts
+++ b/src/http/backend-socket.ts
@@ -1,25 +1,25 @@
 /**
- * TCP connections to back ends for undici's HTTP client, which takes some endings of a connection
- * for the end of an answer. This socket makes those endings tell apart:
+ * TCP socket for undici's HTTP client, which treats some connection failures as the end of a response.
+ * This socket reports them as errors:
  *
- * - After the head of an answer without a length, undici takes ECONNRESET for an orderly close and
- *   completes the body. A reset is raised under a class of its own here, which fails the answer.
- * - A reset that arrives with the last bytes is reported as the end of the stream; the connection
- *   has no peer any more then, which tells it from an orderly close.
- * - While its parser is paused for a slow reader, undici asserts that the stream does not end, and
- *   the assertion ends the process. Node announces the end as soon as the peer has closed and
- *   nothing is buffered; here it waits until the reader asks for more.
+ * - After the head of a response without a length, undici treats ECONNRESET as an orderly close and
+ *   completes the body. Here a reset is raised as ConnectionResetError, which fails the response.
+ * - A reset that arrives with the last bytes is reported as the end of the stream. It is recognized by
+ *   the missing remote address.
+ * - While its parser is paused for a slow reader, undici asserts that the stream does not end; the failed
+ *   assertion would terminate the process. Node emits the end as soon as the peer has closed and nothing
+ *   is buffered; here it is delayed until the reader requests more data.
  */
 import { Socket } from 'node:net';
 import type { buildConnector } from 'undici';
 import { LedgegaugeError } from '../common/index.js';
 
-/** The peer reset a connection; what it had not delivered yet is lost. */
+/** The peer reset the connection; data that was not delivered is lost. */
 export class ConnectionResetError extends LedgegaugeError {}
 
-/** A connection was not established in time; nothing was sent on it. */
+/** The connection was not established in time; nothing was sent. */
 export class ConnectTimeoutError extends LedgegaugeError {
-  /** The code by which undici's own connector names this. */
+  /** Error code of undici's own connector. */
   readonly code = 'UND_ERR_CONNECT_TIMEOUT';
 }
 
@@ -27,7 +27,7 @@
 const HTTP_PORT = 80;
 
 export class BackendSocket extends Socket {
-  /** Whether the peer has closed its side; bytes from before may still wait to be read. */
+  /** Whether the peer has closed its side; earlier data may still be buffered. */
   private hasReceivedEnd = false;
 
   /** @param peerAddress `host:port` of the peer, for errors */
@@ -36,12 +36,12 @@
   }
 
   override _destroy(error: Error | null, callback: (error?: Error | null) => void): void {
-    super._destroy(this.describe(error), callback);
+    super._destroy(this.toResetError(error), callback);
   }
 
   override push(chunk: unknown, encoding?: BufferEncoding): boolean {
     if (chunk !== null) return super.push(chunk, encoding);
-    if (this.isPeerGone) {
+    if (this.isPeerLost) {
       this.destroy(this.resetError(undefined));
       return false;
     }
@@ -50,23 +50,23 @@
   }
 
   /**
-   * libuv reports the end of the stream, and no error, when a reset arrives together with the last
-   * bytes. After an orderly close the connection still has a peer, since this side is open; after a
-   * reset it has none. Node asks for the address once and keeps it, so nothing may ask before.
+   * When a reset arrives together with the last bytes, libuv reports the end of the stream and no error.
+   * After an orderly close the socket still has a remote address, since this side is open; after a reset
+   * it has none. Node caches the address on first access, so it must not be read earlier.
    */
-  private get isPeerGone(): boolean {
+  private get isPeerLost(): boolean {
     return !this.destroyed && this.remoteAddress === undefined;
   }
 
-  /** Announces the end of the stream only to a read that asks for bytes and finds none left. */
+  /** Signals the end of the stream only to a read that requests data when none is left. */
   override read(size?: number): unknown {
     if (!this.hasReceivedEnd) return super.read(size);
     if (size === 0) return null;
-    // A read of all that is buffered would find the end as well; one of its exact length does not.
+    // Reading without a size would also signal the end; reading the exact buffered length does not.
     return super.read(size ?? (this.readableLength > 0 ? this.readableLength : undefined));
   }
 
-  private describe(error: Error | null): Error | null {
+  private toResetError(error: Error | null): Error | null {
     const isReset = (error as NodeJS.ErrnoException | null)?.code === RESET_CODE;
     return isReset ? this.resetError(error) : error;
   }
@@ -77,14 +77,14 @@
   }
 }
 
-/** @param timeoutMs longest time until a connection is established, in milliseconds */
+/** @param timeoutMs maximum time to establish a connection, in milliseconds */
 export function backendConnector(timeoutMs: number): buildConnector.connector {
   return ({ hostname, port }, callback) => {
     const address = `${hostname}:${port || HTTP_PORT}`;
     const socket = new BackendSocket(address);
     const timer = setTimeout(() => {
       const context = { step: 'backend.connect', peer: address, retriable: true };
-      socket.destroy(new ConnectTimeoutError('no connection in time', context));
+      socket.destroy(new ConnectTimeoutError('connection not established in time', context));
     }, timeoutMs);
     const fail = (error: Error): void => {
       clearTimeout(timer);
--- a/src/http/http-server.ts
+++ b/src/http/http-server.ts
@@ -1,4 +1,4 @@
-/** A thin layer over Node's HTTP server: path patterns, bounded JSON bodies, problem documents. */
+/** HTTP server on top of node:http with path patterns, bounded JSON bodies and problem documents. */
 import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { Deferred, describeError, sleep } from '../common/index.js';
@@ -13,7 +13,7 @@
 export interface HttpExchange {
   request: IncomingMessage;
   response: ServerResponse;
-  /** Values of the pattern's `:name` parts. */
+  /** Values of the pattern's `:name` segments. */
   parameters: Record<string, string>;
   query: URLSearchParams;
 }
@@ -31,9 +31,9 @@
 const HTTP_NOT_FOUND = 404;
 const HTTP_PAYLOAD_TOO_LARGE = 413;
 const KEEP_ALIVE_TIMEOUT_MS = 30_000;
-const CLOSE_POLL_MS = 10;
-/** Longer than a request is on its way, so that only connections out of use are closed. */
-const LINGER_MS = 600;
+const DRAIN_POLL_MS = 10;
+/** Time for requests that clients sent before they learned that the server is draining. */
+const DRAIN_GRACE_MS = 600;
 
 export class HttpRouter {
   private readonly routes: Route[] = [];
@@ -63,13 +63,13 @@
   const parameters: Record<string, string> = {};
   for (const [index, part] of pattern.entries()) {
     const actual = path[index]!;
-    if (part.startsWith(':')) parameters[part.slice(1)] = safeDecode(actual);
+    if (part.startsWith(':')) parameters[part.slice(1)] = decodeOrKeep(actual);
     else if (part !== actual) return undefined;
   }
   return parameters;
 }
 
-function safeDecode(text: string): string {
+function decodeOrKeep(text: string): string {
   try {
     return decodeURIComponent(text);
   } catch {
@@ -81,7 +81,7 @@
   host: string;
   port: number;
   router: HttpRouter;
-  /** Called for errors that are nobody's request's fault. */
+  /** Called for unexpected errors, which are answered with status 500. */
   onError?: (description: string) => void;
 }
 
@@ -110,21 +110,21 @@
     return (this.server.address() as AddressInfo).port;
   }
 
-  /** Requests under way now. */
+  /** Number of requests in progress. */
   get activeRequests(): number {
     return this.active;
   }
 
   /**
-   * Stops without cutting a request. For a while all requests are still answered, each with the word
-   * that its connection closes, because they may have been on their way; then nothing new is taken,
-   * and what is under way is finished.
+   * Shuts down without interrupting a request. During a grace period all requests are still served, with
+   * `Connection: close`, because clients may have sent them already; then the server stops listening and
+   * finishes the requests in progress.
    */
   async drain(): Promise<void> {
     this.isDraining = true;
-    await sleep(LINGER_MS);
+    await sleep(DRAIN_GRACE_MS);
     this.server.close();
-    while (this.active > 0) await sleep(CLOSE_POLL_MS);
+    while (this.active > 0) await sleep(DRAIN_POLL_MS);
     this.server.closeAllConnections();
   }
 
@@ -144,15 +144,15 @@
       const { handler, parameters } = match;
       await handler({ request, response, parameters, query: url.searchParams });
     } catch (error) {
-      this.answerError(response, error);
+      this.sendError(response, error);
     } finally {
-      // What is left of a refused body is read and dropped, or the connection would stand still.
+      // Discards the rest of a rejected body, which would otherwise stall the connection.
       request.resume();
       this.active -= 1;
     }
   }
 
-  private answerError(response: ServerResponse, error: unknown): void {
+  private sendError(response: ServerResponse, error: unknown): void {
     if (response.headersSent) {
       response.destroy();
       return;
@@ -184,7 +184,6 @@
   response.end(body);
 }
 
-/** Answers with a JSON body. */
 export function sendJson(
   response: ServerResponse,
   status: number,
@@ -202,7 +201,7 @@
 
 /**
  * Reads a JSON body.
- * @throws HttpProblem when it is longer than `maxBytes`, cut off or not JSON
+ * @throws HttpProblem when it is longer than `maxBytes`, truncated or not JSON
  */
 export async function readJson(request: IncomingMessage, maxBytes: number): Promise<unknown> {
   const body = await readBody(request, maxBytes);
@@ -213,26 +212,28 @@
   }
 }
 
-/** Leaves the connection usable also when the body is refused, so that the answer gets through. */
+/** Keeps the connection usable when the body is rejected, so that the response can be sent. */
 function readBody(request: IncomingMessage, maxBytes: number): Promise<Buffer> {
   const chunks: Buffer[] = [];
-  const whole = new Deferred<Buffer>();
+  const result = new Deferred<Buffer>();
   let bytes = 0;
-  const take = (chunk: Buffer): void => {
+  const onData = (chunk: Buffer): void => {
     bytes += chunk.length;
     if (bytes <= maxBytes) {
       chunks.push(chunk);
       return;
     }
-    request.off('data', take);
+    request.off('data', onData);
     const detail = `the body exceeds ${maxBytes} bytes`;
-    whole.reject(badRequestProblem(detail, 'body_too_large', HTTP_PAYLOAD_TOO_LARGE));
+    result.reject(badRequestProblem(detail, 'body_too_large', HTTP_PAYLOAD_TOO_LARGE));
   };
-  const cutOff = (): void =>
-    whole.reject(unknownOutcomeProblem('the body was cut off', 'body_cut_off', HTTP_BAD_REQUEST));
-  request.on('data', take);
-  request.once('end', () => whole.resolve(Buffer.concat(chunks)));
-  request.once('error', cutOff);
-  request.once('close', cutOff);
-  return whole.promise;
+  const onTruncated = (): void =>
+    result.reject(
+      unknownOutcomeProblem('the body was truncated', 'body_cut_off', HTTP_BAD_REQUEST),
+    );
+  request.on('data', onData);
+  request.once('end', () => result.resolve(Buffer.concat(chunks)));
+  request.once('error', onTruncated);
+  request.once('close', onTruncated);
+  return result.promise;
 }
--- a/src/http/http.test.ts
+++ b/src/http/http.test.ts
@@ -1,4 +1,4 @@
-/** The HTTP layer: events over any cuts, bounded bodies, draining. */
+/** HTTP layer: events split at any position, bounded bodies, draining. */
 import fc from 'fast-check';
 import { Agent, request } from 'undici';
 import { describe, expect, it, onTestFinished } from 'vitest';
@@ -23,12 +23,12 @@
 );
 
 describe('events', () => {
-  it('are the same however the stream is cut', () => {
+  it('are the same wherever the stream is split', () => {
     const text = fc.string({ minLength: 1, unit: fc.constantFrom('a', ' ', ':', 'é', '{') });
     const event = fc.record({ id: text, event: text, data: text });
-    const cuts = fc.array(fc.integer({ min: 0, max: 200 }), { maxLength: 8 });
+    const splitPositions = fc.array(fc.integer({ min: 0, max: 200 }), { maxLength: 8 });
     fc.assert(
-      fc.property(fc.array(event, { maxLength: 6 }), cuts, (events, positions) => {
+      fc.property(fc.array(event, { maxLength: 6 }), splitPositions, (events, positions) => {
         const whole = events.map(formatEvent).join('');
         const parser = new EventParser();
         const parsed: ServerSentEvent[] = [];
@@ -43,7 +43,7 @@
     );
   });
 
-  it('do not grow without bounds', () => {
+  it('are rejected above the size limit', () => {
     const parser = new EventParser();
     expect(() => parser.push('x'.repeat(2 * 1024 * 1024))).toThrow('too long');
   });
@@ -58,7 +58,7 @@
     ['{"a":1}', 200],
     ['{"a":', 400],
     [`"${'x'.repeat(MAX_BYTES)}"`, 413],
-  ])('%#: are read or refused clearly', async (body, status) => {
+  ])('%#: are accepted, or rejected with the right status', async (body, status) => {
     const { url } = await startServer(echo);
     const response = await request(`${url}/echo/me`, { method: 'POST', body });
     expect(response.statusCode).toBe(status);
@@ -66,7 +66,7 @@
     if (status !== 200) expect(document.outcome).toBe('not_run');
   });
 
-  it('that break off do no harm', async () => {
+  it('that are truncated do not affect the next request', async () => {
     const { url } = await startServer(echo);
     const headers = { 'content-length': '500' };
     const broken = request(`${url}/echo/me`, {
@@ -74,7 +74,7 @@
       headers,
       body: (function* body() {
         yield Buffer.from('{"a"');
-        throw new Error('caller dies');
+        throw new Error('client fails');
       })() as unknown as AsyncIterable<Buffer> & never,
     });
     await expect(broken).rejects.toThrow();
@@ -85,7 +85,7 @@
 });
 
 describe('draining', () => {
-  it('answers a request that was on its way over a kept connection', async () => {
+  it('answers a late request on a keep-alive connection', async () => {
     const router = new HttpRouter().on('GET', '/', async ({ response }) =>
       sendJson(response, 200, {}),
     );
@@ -101,14 +101,14 @@
     await drained;
   });
 
-  it('finishes what is under way and takes nothing new', async () => {
+  it('finishes requests in progress and refuses new connections', async () => {
     const gate = new Deferred<void>();
     const router = new HttpRouter().on('GET', '/slow', async ({ response }) => {
       await gate.promise;
       sendJson(response, 200, {});
     });
     const { server, url } = await startServer(router);
-    const underWay = request(`${url}/slow`);
+    const inProgress = request(`${url}/slow`);
     while (server.activeRequests === 0) await new Promise((resolve) => setImmediate(resolve));
     const drained = server.drain();
     await waitUntil('new connections refused', () =>
@@ -119,7 +119,7 @@
     );
     expect(server.activeRequests).toBe(1);
     gate.resolve();
-    const response = await underWay;
+    const response = await inProgress;
     expect(response.statusCode).toBe(200);
     await response.body.dump();
     await drained;
--- a/src/http/index.ts
+++ b/src/http/index.ts
@@ -1,4 +1,4 @@
-/** HTTP parts that callers' and operators' interfaces and the emulators share. */
+/** HTTP components shared by the caller API, the operator API and the emulators. */
 export * from './http-server.js';
 export * from './problem.js';
 export * from './raw-headers.js';
--- a/src/http/problem.ts
+++ b/src/http/problem.ts
@@ -1,36 +1,35 @@
-/** Errors of the HTTP interfaces as problem documents (RFC 9457). */
+/** Problem documents (RFC 9457) of the HTTP APIs. */
 import { LedgegaugeError } from '../common/index.js';
 
 /**
- * What became of the request: `not_run`: it did not run and never will; `completed`: it ran and
- * this is its recorded end; `unknown`: it may or may not have run.
+ * Outcome of the request: `not_run`: it did not run and never will; `completed`: it ran and this is its
+ * recorded result; `unknown`: it may or may not have run.
  */
 export type RequestOutcome = 'not_run' | 'completed' | 'unknown';
 
 export interface Problem {
   status: number;
-  /** A short stable name of the kind of problem. */
+  /** Stable identifier of the problem type. */
   code: string;
   detail: string;
   outcome: RequestOutcome;
-  /** Whether sending the request again, as the detail says, may succeed. */
+  /** Whether resending the request, as described in the detail, may succeed. */
   sendAgain: boolean;
-  /** When to come back, in milliseconds. */
+  /** Suggested delay before a retry, in milliseconds. */
   retryAfterMs?: number;
-  /** The number to give a new submission of the same call. */
+  /** Submission number to use when resubmitting the call. */
   nextSubmission?: number;
 }
 
 const MS_PER_SECOND = 1_000;
 
-/** Thrown inside an HTTP handler to answer with a problem document. */
+/** Thrown by an HTTP handler to respond with a problem document. */
 export class HttpProblem extends LedgegaugeError {
   constructor(readonly problem: Problem) {
     super(problem.detail, { step: 'http.answer', retriable: problem.sendAgain });
   }
 }
 
-/** The body of a problem response. */
 export function problemBody(problem: Problem): string {
   return JSON.stringify({
     type: `urn:ledgegauge:problem:${problem.code}`,
@@ -45,7 +44,7 @@
   });
 }
 
-/** `Retry-After` counts whole seconds, so it is rounded up; the body has the milliseconds. */
+/** `Retry-After` is in whole seconds, so it is rounded up; the body contains the milliseconds. */
 export function problemHeaders(problem: Problem): Record<string, string> {
   const headers: Record<string, string> = { 'content-type': 'application/problem+json' };
   if (problem.retryAfterMs !== undefined) {
@@ -54,12 +53,12 @@
   return headers;
 }
 
-/** A request that is refused without a word on whether a copy of it ran, or ever will. */
+/** A rejection that does not tell whether a duplicate of the request ran or will run. */
 export function unknownOutcomeProblem(detail: string, code: string, status: number): HttpProblem {
   return new HttpProblem({ status, code, detail, outcome: 'unknown', sendAgain: false });
 }
 
-/** A request that is wrong in itself: it did not run, and sending it again is no use. */
+/** An invalid request: it did not run, and resending it cannot succeed. */
 export function badRequestProblem(detail: string, code = 'bad_request', status = 400): HttpProblem {
   return new HttpProblem({ status, code, detail, outcome: 'not_run', sendAgain: false });
 }
--- a/src/http/raw-headers.ts
+++ b/src/http/raw-headers.ts
@@ -1,6 +1,6 @@
-/** Headers as Node and undici give them: names and values in turn, as they came. */
+/** Access to raw headers as Node and undici provide them: alternating names and values. */
 
-/** All values of a header, by its name in lower case. */
+/** Returns all values of a header. @param name in lower case */
 export function headerValues(rawHeaders: readonly string[], name: string): string[] {
   const values: string[] = [];
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
@@ -9,7 +9,7 @@
   return values;
 }
 
-/** The first value of a header, by its name in lower case. */
+/** Returns the first value of a header. @param name in lower case */
 export function firstHeader(rawHeaders: readonly string[], name: string): string | undefined {
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     if (rawHeaders[index]!.toLowerCase() === name) return rawHeaders[index + 1];
--- a/src/http/server-sent-events.ts
+++ b/src/http/server-sent-events.ts
@@ -1,4 +1,4 @@
-/** Server-sent events: writing and reading. */
+/** Formatting and parsing of server-sent events. */
 
 export interface ServerSentEvent {
   id?: string;
@@ -6,21 +6,21 @@
   data: string;
 }
 
-/** Formats one event; `data` must hold no line breaks. */
+/** Formats one event; `data` must not contain line breaks. */
 export function formatEvent(event: ServerSentEvent): string {
   const id = event.id === undefined ? '' : `id: ${event.id}\n`;
   const name = event.event === undefined ? '' : `event: ${event.event}\n`;
   return `${id}${name}data: ${event.data}\n\n`;
 }
 
-/** Longest unfinished event that is kept, in characters. */
+/** Maximum size of an incomplete event. */
 const MAX_PENDING_CHARACTERS = 1024 * 1024;
 
-/** Cuts a stream of text into events. */
+/** Parses events from a stream of text chunks. */
 export class EventParser {
   private pending = '';
 
-  /** @throws Error when an event grows beyond all bounds */
+  /** @throws Error when an event exceeds the maximum size */
   push(text: string): ServerSentEvent[] {
     this.pending += text;
     const events: ServerSentEvent[] = [];
