--- a/src/nodes/control-node.ts
+++ b/src/nodes/control-node.ts
@@ -1,4 +1,4 @@
-/** The control process: a member of the directory's group, and the way in for orders to it. */
+/** Control process: a member of the directory's consensus group that serves requests to the directory. */
 import { discoverCluster, registerProbe } from '../control/cluster-formation.js';
 import type { Registry } from 'prom-client';
 import { GroupClient, type ReplicatedGroup } from '../consensus/index.js';
@@ -21,9 +21,9 @@
   onFatal: (error: unknown) => void;
 }
 
-/** Tenants are never above their limits. */
+/** Default tolerance: tenants never exceed their limits. */
 const NO_TOLERANCE: QuotaTolerance = { over: 0, slack: 0, windowMs: 5_000 };
-const REFRESH_ADDRESSES_MS = 500;
+const ADDRESS_REFRESH_MS = 500;
 
 export class ControlNode {
   readonly directory: DirectoryClient;
@@ -37,7 +37,7 @@
     private readonly client: GroupClient,
   ) {
     this.directory = new DirectoryClient(client);
-    this.timer = setInterval(() => this.refreshAddresses(), REFRESH_ADDRESSES_MS);
+    this.timer = setInterval(() => this.refreshAddresses(), ADDRESS_REFRESH_MS);
   }
 
   static async start(settings: NodeSettings, hooks: NodeHooks): Promise<ControlNode> {
@@ -65,21 +65,20 @@
     registerDirectoryService(member.router, leader, () => member.group);
     createQuotaLeader(settings, leader, () => member.group).register(member.router);
     await member.listen();
-    void node.enterCluster().catch(onFatal);
+    void node.joinCluster().catch(onFatal);
     return node;
   }
 
-  /** Whether this process takes part in the directory's group. */
+  /** Whether this process has joined the directory's group. */
   get isReady(): boolean {
     return this.member.group !== undefined;
   }
 
-  /** Whether this process leads the directory's group. */
   get leads(): boolean {
     return this.member.group?.isLeader ?? false;
   }
 
-  /** Term of the directory's group as this process knows it. */
+  /** Term of the directory's group as known to this process; 0 before it has joined. */
   get term(): number {
     return this.member.group?.term ?? 0;
   }
@@ -88,7 +87,7 @@
     return this.member.createMetrics();
   }
 
-  /** Takes over changed seeds. */
+  /** Applies changed seed addresses. */
   updateSeeds(controlSeeds: string[]): void {
     this.settings.controlSeeds = controlSeeds;
     this.refreshAddresses();
@@ -100,7 +99,7 @@
     this.leader.stop();
   }
 
-  private async enterCluster(): Promise<void> {
+  private async joinCluster(): Promise<void> {
     const { identity, peers, signal } = this.member;
     const { settings } = this;
     const { controlSeeds, internalAddress } = settings;
--- a/src/nodes/gateway-node.ts
+++ b/src/nodes/gateway-node.ts
@@ -1,4 +1,4 @@
-/** The gateway process: follows the directory and forwards calls. */
+/** Gateway process: watches the directory and forwards calls. */
 import { randomBytes } from 'node:crypto';
 import { SignalEvent } from '../common/index.js';
 import { GroupClient, PeerDirectory } from '../consensus/index.js';
@@ -29,7 +29,7 @@
   logger: Logger;
 }
 
-/** Connections to one back end even where its limit, shared out, would allow fewer. */
+/** Minimum number of connections to one backend, even if this gateway's share of the limit is lower. */
 const MIN_CONNECTIONS = 2;
 const DEFAULT_CONNECTIONS = 16;
 const HOLDER_ID_BYTES = 6;
@@ -103,16 +103,16 @@
     return node;
   }
 
-  /** Whether new callers should come here. */
+  /** Whether the gateway accepts new callers. */
   get isReady(): boolean {
-    return this.routes !== undefined && this.hasBackends && this.areKeysCertain && !this.isStopping;
+    return this.routes !== undefined && this.hasBackends && this.areKeysCurrent && !this.isStopping;
   }
 
   get limits(): RequestLimits | undefined {
     return this.routes?.configuration.limits;
   }
 
-  /** No new callers are wanted any more; those that come are still served. */
+  /** Reports the gateway as not ready; requests are still served. */
   startDraining(): void {
     this.isStopping = true;
   }
@@ -129,8 +129,8 @@
     this.peers.close();
   }
 
-  /** Whether callers with keys can be served. */
-  private get areKeysCertain(): boolean {
+  /** Whether the known API keys are recent enough, if any tenant requires a key. */
+  private get areKeysCurrent(): boolean {
     const { tenants, ageMs, leaseMs } = this.keyKnowledge;
     return !tenants.requiresKeys || ageMs < leaseMs;
   }
@@ -140,7 +140,7 @@
     return { tenants, ageMs: this.watcher.confirmedAgeMs, leaseMs };
   }
 
-  /** How old this gateway's knowledge is, and which configuration it acts by. */
+  /** Adds gauges for the age of the directory data and the configuration in force. */
   private addGauges(): void {
     const add = (name: string, help: string, read: () => number): void =>
       addGauge(this.metrics.registry, `ledgegauge_directory_${name}`, help, read);
@@ -173,19 +173,19 @@
         this.hasBackends = true;
         this.backends.update(records);
       },
-      onCluster: (view) => this.takeCluster(view),
+      onCluster: (view) => this.applyClusterView(view),
       onOtherLoads: (loads) => this.backends.updateOtherLoads(loads),
     });
   }
 
-  private takeCluster(view: ClusterView): void {
+  private applyClusterView(view: ClusterView): void {
     const seeds = this.options.settings.controlSeeds;
     this.controlClient.setAddresses([...new Set([...view.controlAddresses, ...seeds])]);
     this.ledgerGroups.setAddresses(view.ledgerAddresses);
     this.gatewayCount = view.gatewayCount;
   }
 
-  /** This gateway's share of the connections that one back end takes. */
+  /** Returns this gateway's share of a backend's connection limit. */
   private connectionLimit(service: string): number {
     const limit = this.routes?.service(service)?.maxConnections;
     if (limit === undefined) return DEFAULT_CONNECTIONS;
--- a/src/nodes/group-member-process.ts
+++ b/src/nodes/group-member-process.ts
@@ -1,4 +1,4 @@
-/** What control and journal processes share: storage, the internal endpoint and one group. */
+/** Common base of control and journal processes: storage, internal RPC endpoint and one consensus group. */
 import { join } from 'node:path';
 import type { Registry } from 'prom-client';
 import {
@@ -26,7 +26,7 @@
   groupName: string;
   stateMachine: StateMachine;
   consensus: ConsensusOptions;
-  /** Bytes that the segments of the log may take. @default no limit */
+  /** Maximum size of the log's segments. @default no limit */
   logQuotaBytes: number | undefined;
   isRetiring: (name: string) => boolean;
   onLeadershipChange: (group: ReplicatedGroup) => void;
@@ -53,14 +53,14 @@
     private readonly wal: WriteAheadLog,
   ) {
     const { settings } = options;
-    const links = {
+    const peerOptions = {
       ownName: settings.name,
       secret: settings.secret,
       router: this.router,
       resolveAddress: (address: string) => address,
     };
-    this.peers = new PeerDirectory(links);
-    this.urgentPeers = new PeerDirectory(links);
+    this.peers = new PeerDirectory(peerOptions);
+    this.urgentPeers = new PeerDirectory(peerOptions);
     const findGroup = (): ReplicatedGroup | undefined => this.group;
     this.loadLog = new MemberLoadLog({ findGroup, wal, logger: options.logger });
   }
@@ -74,14 +74,13 @@
       segmentBytes: SEGMENT_BYTES,
       quotaBytes: options.logQuotaBytes,
       onFatal,
-      onFullChange: (isFull) => noteFullDisk(logger, isFull),
+      onFullChange: (isFull) => logDiskFull(logger, isFull),
     });
     const process = new GroupMemberProcess(options, identity, wal);
     process.createHost();
     return process;
   }
 
-  /** Counters and gauges of this member. */
   createMetrics(): Registry {
     return createMemberMetrics({ findGroup: () => this.group, wal: this.wal });
   }
@@ -107,12 +106,12 @@
     });
   }
 
-  /** Writes the first entry of the group; every founder writes the same. */
+  /** Writes the first entry of the group, which must be identical on every founder. */
   bootstrap(configuration: GroupConfiguration): Promise<void> {
     return this.host.bootstrapGroup(this.options.groupName, configuration);
   }
 
-  /** Opens the group from what the disk holds of it and takes part in it. */
+  /** Opens the group from local storage and takes part in it. */
   async joinGroup(client: GroupClient): Promise<void> {
     const { groupName, stateMachine, settings, isRetiring, logger } = this.options;
     const group = await this.host.openGroup(groupName, stateMachine);
@@ -129,7 +128,7 @@
     void runAdmissionTask({ group, member, client, signal });
   }
 
-  /** Hands leadership over and closes everything. */
+  /** Transfers leadership and closes everything. */
   async stop(): Promise<void> {
     this.stopping.abort();
     this.keeper?.stop();
@@ -156,17 +155,18 @@
     });
   }
 
-  /** A member that held a log must not vote without it, whatever became of the files. */
+  /** A member must not vote after losing its log, because its vote and acknowledged entries are unknown. */
   private requireLog(group: ReplicatedGroup): void {
     if (this.identity.identity.state !== 'member' || group.log.lastIndex > 0) return;
     throw new DamagedLogError(
-      'the log is gone but the identity is not; start with an empty folder',
+      'the log is missing but the identity file exists; restart with an empty data folder',
       { step: 'nodes.enter', peer: group.name },
     );
   }
 }
 
-function noteFullDisk(logger: Logger, isFull: boolean): void {
-  if (isFull) logger.warn('disk full', { effect: 'new entries refused, writes wait for room' });
+function logDiskFull(logger: Logger, isFull: boolean): void {
+  if (isFull)
+    logger.warn('disk full', { effect: 'new entries are rejected, writes wait for free space' });
   else logger.info('disk has room again', {});
 }
--- a/src/nodes/journal-budget.ts
+++ b/src/nodes/journal-budget.ts
@@ -1,54 +1,53 @@
-/** How a journal process divides its memory and its disk. */
+/** Division of a journal process's memory and disk. */
 
 const MIB = 1024 * 1024;
 
-/** What a journal may take, in bytes. */
+/** Limits of a journal process, in bytes. */
 export interface JournalBudget {
-  /** Log entries in memory, beyond which a leader takes no more. */
+  /** Log entries in memory; a leader rejects further proposals above this size. */
   heldEntries: number;
-  /** Values of kept turns that wait to be written. */
+  /** Values of kept turns that are not written yet. */
   pendingValues: number;
-  /** Values of kept turns that are kept after they were written or read. */
+  /** Cache of values of kept turns that were written or read. */
   cachedValues: number;
-  /** Heap and buffers together, beyond which no reservation is taken. @default no limit */
+  /** Heap and buffers together; reservations are rejected above this size. @default no limit */
   total: number | undefined;
-  /** Segments of the log on disk. @default no limit */
+  /** Log segments on disk. @default no limit */
   logOnDisk: number | undefined;
-  /** Segments of kept turns on disk. @default no limit */
+  /** Segments of the value store on disk. @default no limit */
   valuesOnDisk: number | undefined;
 }
 
-/** Shares of the machine's memory, and what is enough on a large one. */
-const HELD_ENTRIES = { share: 0.1, most: 32 * MIB };
-const PENDING_VALUES = { share: 0.02, most: 4 * MIB };
-const CACHED_VALUES = { share: 0.04, most: 8 * MIB };
+/** Shares of the memory limit, each with an upper bound. */
+const HELD_ENTRIES = { share: 0.1, maxBytes: 32 * MIB };
+const PENDING_VALUES = { share: 0.02, maxBytes: 4 * MIB };
+const CACHED_VALUES = { share: 0.04, maxBytes: 8 * MIB };
 /**
- * What heap and buffers may take of the memory limit. The rest is the program itself: 45 MB of an
- * empty Node process, a fifth of the smallest limit that was met (178 to 220 MB), and room to clean.
+ * Share of the memory limit for heap and buffers. The rest is left for the Node.js runtime (45 MB) and
+ * for garbage collection.
  */
 const TOTAL_SHARE = 0.6;
 /**
- * Snapshots, of which two stand side by side while one replaces the other, get what is left of the
- * disk. The log needs a few segments only; kept turns grow with what is said.
+ * Shares of the disk. The rest is left for snapshots, of which two exist while one replaces the other.
  */
 const LOG_DISK_SHARE = 0.3;
 const VALUES_DISK_SHARE = 0.55;
 
-/** @param memoryBytes,diskBytes what the process may use; undefined without a limit */
+/** @param memoryBytes,diskBytes available to the process; undefined without a limit */
 export function journalBudget(
   memoryBytes: number | undefined,
   diskBytes: number | undefined,
 ): JournalBudget {
-  const part = ({ share, most }: { share: number; most: number }): number =>
-    memoryBytes === undefined ? most : Math.min(most, Math.round(memoryBytes * share));
-  const of = (bytes: number | undefined, share: number): number | undefined =>
+  const cappedShareOf = ({ share, maxBytes }: { share: number; maxBytes: number }): number =>
+    memoryBytes === undefined ? maxBytes : Math.min(maxBytes, Math.round(memoryBytes * share));
+  const shareOf = (bytes: number | undefined, share: number): number | undefined =>
     bytes === undefined ? undefined : Math.round(bytes * share);
   return {
-    heldEntries: part(HELD_ENTRIES),
-    pendingValues: part(PENDING_VALUES),
-    cachedValues: part(CACHED_VALUES),
-    total: of(memoryBytes, TOTAL_SHARE),
-    logOnDisk: of(diskBytes, LOG_DISK_SHARE),
-    valuesOnDisk: of(diskBytes, VALUES_DISK_SHARE),
+    heldEntries: cappedShareOf(HELD_ENTRIES),
+    pendingValues: cappedShareOf(PENDING_VALUES),
+    cachedValues: cappedShareOf(CACHED_VALUES),
+    total: shareOf(memoryBytes, TOTAL_SHARE),
+    logOnDisk: shareOf(diskBytes, LOG_DISK_SHARE),
+    valuesOnDisk: shareOf(diskBytes, VALUES_DISK_SHARE),
   };
 }
--- a/src/nodes/journal-node.ts
+++ b/src/nodes/journal-node.ts
@@ -1,4 +1,4 @@
-/** The journal process: a member of the ledger's group, guided by the directory. */
+/** Journal process: a member of the ledger's consensus group, which it finds through the directory. */
 import { join } from 'node:path';
 import type { Registry } from 'prom-client';
 import { type ConsensusOptions, GroupClient } from '../consensus/index.js';
@@ -19,29 +19,29 @@
 import { CONSENSUS_TIMING, type NodeSettings } from './node-settings.js';
 
 const RETIREMENT_CHECK_MS = 150;
-/** Entries between two snapshots of the ledger. */
+/** Log entries between two snapshots of the ledger. */
 const SNAPSHOT_EVERY_ENTRIES = 8_000;
 /**
- * Bytes of commands between two snapshots, and of those that are kept behind one. A start reads
- * that much at most; a snapshot names kept turns in some 40 bytes each, where a turn has thousands.
+ * Bytes of commands between two snapshots, and bytes of commands retained behind a snapshot. They bound
+ * how much of the log is read at the start.
  */
 const SNAPSHOT_EVERY_BYTES = 4 * 1024 * 1024;
 const TRAILING_BYTES = 2 * 1024 * 1024;
 /**
- * How long a reservation or settlement may wait for its place in the log, in milliseconds: a turn that
- * waits for longer than an election takes is late whatever becomes of it.
+ * How long a reservation or settlement may wait for its place in the log. The limit is about the duration
+ * of an election; a turn that waits for longer is late in any case.
  */
 const MAX_PROPOSAL_WAIT_MS = 300;
 /**
- * How long another member may take to be reached, and to send values of kept turns, in milliseconds:
- * an answer of 512 KiB takes 0.2 s on the slowest link that was met (21 Mbit/s).
+ * Timeouts for connecting to another member and for reading values of kept turns from it. A response of
+ * 512 KiB takes 0.2 s at 21 Mbit/s.
  */
 const READ_TURNS_LIMITS = { connectMs: 500, timeoutMs: 2_000 };
 
 export class JournalNode {
   private readonly watcher: DirectoryWatcher;
   private readonly retiring = new Set<string>();
-  private isEntering = false;
+  private isJoining = false;
 
   private constructor(
     private readonly settings: NodeSettings,
@@ -57,7 +57,7 @@
       client: directory,
       announce: () => this.announcement(),
       logger: hooks.logger,
-      onCluster: (view) => this.takeCluster(view),
+      onCluster: (view) => this.applyClusterView(view),
     });
   }
 
@@ -71,14 +71,14 @@
         member.peers.callWhenConnected(address, READ_TURNS, request, READ_TURNS_LIMITS),
       logger,
     });
-    const retiringNames = (name: string): boolean => node.retiring.has(name);
+    const isRetiringNode = (name: string): boolean => node.retiring.has(name);
     const member: GroupMemberProcess = await GroupMemberProcess.open({
       settings,
       groupName: LEDGER_GROUP,
       stateMachine,
       consensus: consensusOptions(budget),
       logQuotaBytes: budget.logOnDisk,
-      isRetiring: retiringNames,
+      isRetiring: isRetiringNode,
       onLeadershipChange: () => undefined,
       logger,
       onFatal,
@@ -107,12 +107,12 @@
     );
     await member.listen();
     node.watcher.start();
-    void node.enterKnownGroup().catch(onFatal);
+    void node.rejoinGroup().catch(onFatal);
     void node.reportRetirements();
     return node;
   }
 
-  /** Whether this process takes part in the ledger's group. */
+  /** Whether this process has joined the ledger's group. */
   get isReady(): boolean {
     return this.member.group !== undefined;
   }
@@ -153,28 +153,28 @@
     return { name, role: 'journal', memberId, address, zone };
   }
 
-  private takeCluster(view: ClusterView): void {
+  private applyClusterView(view: ClusterView): void {
     const seeds = this.settings.controlSeeds;
     this.controlClient.setAddresses([...new Set([...view.controlAddresses, ...seeds])]);
     this.ledgerClient.setAddresses(view.ledgerAddresses);
     this.retiring.clear();
     for (const [name] of view.retirements) this.retiring.add(name);
-    if (view.ledgerFounders.length === 0 || this.isEntering) return;
-    this.isEntering = true;
-    void this.enterGroup(view).catch(this.hooks.onFatal);
+    if (view.ledgerFounders.length === 0 || this.isJoining) return;
+    this.isJoining = true;
+    void this.joinGroup(view).catch(this.hooks.onFatal);
   }
 
-  /** A member that comes back knows its group from its disk and waits for nobody. */
-  private async enterKnownGroup(): Promise<void> {
+  /** A restarted member knows its group from local storage and does not wait for the directory. */
+  private async rejoinGroup(): Promise<void> {
     const { state, founders } = this.member.identity.identity;
-    if (state === 'new' || this.isEntering) return;
-    this.isEntering = true;
+    if (state === 'new' || this.isJoining) return;
+    this.isJoining = true;
     this.ledgerClient.setAddresses(founders.map(({ address }) => address));
     await this.member.joinGroup(this.ledgerClient);
     this.hooks.logger.info('journal serving again', {});
   }
 
-  private async enterGroup(view: ClusterView): Promise<void> {
+  private async joinGroup(view: ClusterView): Promise<void> {
     const { identity } = this.member;
     const { memberId, state } = identity.identity;
     const founders = view.ledgerFounders;
@@ -190,7 +190,7 @@
     this.hooks.logger.info('journal serving', { member: memberId, isFounder });
   }
 
-  /** While this member leads: tells the directory which machines the group has let go. */
+  /** While this member leads: reports to the directory which nodes the group has removed. */
   private async reportRetirements(): Promise<void> {
     const { signal } = this.member;
     const reported = new Set<string>();
@@ -202,7 +202,7 @@
           await this.directory.completeRetirement(name);
           reported.add(name);
         } catch {
-          // Reported again in the next round.
+          // Retried in the next round.
         }
       }
     }
--- a/src/nodes/member-load-log.ts
+++ b/src/nodes/member-load-log.ts
@@ -1,7 +1,6 @@
 /**
- * Logs once a second what a busy member of a group does: where commands wait, which bytes leave it and
- * for what, and how much processor time it takes. It tells a full link from a busy processor, a slow
- * disk and a window that is too narrow.
+ * Logs the load of a busy group member once a second: latency of commands, bytes sent by purpose and
+ * processor time. This distinguishes a saturated link, a busy processor, a slow disk and a small window.
  */
 import { performance } from 'node:perf_hooks';
 import type { ReplicatedGroup, ReplicationTraffic } from '../consensus/index.js';
@@ -9,8 +8,8 @@
 import type { DurationStats, LogFields, Logger } from '../observability/index.js';
 
 const INTERVAL_MS = 1_000;
-/** Commands or batches in a second below which a line says nothing of a load. */
-const LEAST_COMMANDS = 20;
+/** Minimum number of commands or batches per second for a line to be logged. */
+const MIN_COMMANDS = 20;
 const KIB = 1024;
 
 export interface MemberLoadLogOptions {
@@ -19,7 +18,7 @@
   logger: Logger;
 }
 
-/** Counters that only grow, at one moment. */
+/** Readings of monotonic counters. */
 interface CounterReading extends ReplicationTraffic {
   refused: number;
   syncs: number;
@@ -55,7 +54,7 @@
     };
     const loop = performance.eventLoopUtilization(this.loopBefore);
     this.loopBefore = performance.eventLoopUtilization();
-    if (times.commit.count + times.append.count < LEAST_COMMANDS) return;
+    if (times.commit.count + times.append.count < MIN_COMMANDS) return;
     const fields: LogFields = {
       leads: group.isLeader,
       ...describeCommits(times),
--- a/src/nodes/memory-pressure-monitor.ts
+++ b/src/nodes/memory-pressure-monitor.ts
@@ -1,14 +1,14 @@
-/** Tells when heap and buffers of this process come near what it may take. */
+/** Reports when heap and buffers of this process exceed its memory limit. */
 import { getHeapStatistics } from 'node:v8';
 import { monotonicMs } from '../common/index.js';
 import type { Logger } from '../observability/index.js';
 
-/** A reading is used for so long, in milliseconds: memory grows by a few MB in that time at most. */
-const READING_MS = 200;
+/** How long a measurement is reused; memory use grows by a few MB in that time at most. */
+const MEASUREMENT_MAX_AGE_MS = 200;
 
 export class MemoryPressureMonitor {
-  private readAt = Number.NEGATIVE_INFINITY;
-  private isOver = false;
+  private measuredAt = Number.NEGATIVE_INFINITY;
+  private isOverLimit = false;
 
   /** @param limitBytes no limit when undefined */
   constructor(
@@ -17,23 +17,24 @@
     private readonly usedBytes: () => number = heapAndBuffers,
   ) {}
 
-  /** Whether new work should be refused for now. */
+  /** Whether new work should be rejected for now. */
   isUnderPressure(): boolean {
     if (this.limitBytes === undefined) return false;
     const now = monotonicMs();
-    if (now - this.readAt < READING_MS) return this.isOver;
-    this.readAt = now;
-    this.note(this.usedBytes());
-    return this.isOver;
+    if (now - this.measuredAt < MEASUREMENT_MAX_AGE_MS) return this.isOverLimit;
+    this.measuredAt = now;
+    this.update(this.usedBytes());
+    return this.isOverLimit;
   }
 
-  private note(usedBytes: number): void {
-    const isOver = usedBytes > this.limitBytes!;
-    if (isOver === this.isOver) return;
-    this.isOver = isOver;
-    const figures = { usedBytes, limitBytes: this.limitBytes };
-    if (isOver) this.logger.warn('memory tight', { effect: 'reservations refused', ...figures });
-    else this.logger.info('memory has room again', figures);
+  private update(usedBytes: number): void {
+    const isOverLimit = usedBytes > this.limitBytes!;
+    if (isOverLimit === this.isOverLimit) return;
+    this.isOverLimit = isOverLimit;
+    const fields = { usedBytes, limitBytes: this.limitBytes };
+    if (isOverLimit)
+      this.logger.warn('memory tight', { effect: 'reservations refused', ...fields });
+    else this.logger.info('memory has room again', fields);
   }
 }
 
--- a/src/nodes/missing-log.test.ts
+++ b/src/nodes/missing-log.test.ts
@@ -1,4 +1,4 @@
-/** A member whose log is gone while its identity and its snapshot are there. */
+/** A member that lost its log but not its identity and snapshot must not take part in its group. */
 import { rmSync } from 'node:fs';
 import { join } from 'node:path';
 import { describe, expect, it } from 'vitest';
@@ -39,12 +39,12 @@
   });
 }
 
-/** A client that reaches nobody: the member leads by itself. */
+/** A client without addresses, since the member is the only one of its group. */
 function createClient({ peers }: GroupMemberProcess): GroupClient {
   return new GroupClient({ peers, addresses: [] });
 }
 
-/** The only voter of its group, with a snapshot of what it committed. */
+/** Runs the only voter of a group until it has made a snapshot of a committed entry. */
 async function runUntilSnapshot(dataFolder: string, state: IdentityState): Promise<void> {
   const process = await openProcess(dataFolder);
   await process.listen();
@@ -73,21 +73,19 @@
   }
 }
 
-describe('a voter whose log is gone', () => {
+describe('a voter whose log is missing', () => {
   /**
-   * A member that has voted and acknowledged entries must not take part without its log: it knows neither its term nor its
-   * vote, and not what it acknowledged behind its snapshot. A start that adopts the snapshot where the log doesn't reach
-   * it gives an empty log a last index, so that the check for a log that is gone passes: `lastIndex 3, term 0`.
+   * Without its log, a member does not know its term, its vote and the entries acknowledged after the snapshot. The
+   * last index that an empty log adopts from the snapshot must not be taken for that of an existing log.
    */
-  it('refuses to take part where it founded the group and made a snapshot', async () => {
+  it('does not join if it founded the group and made a snapshot', async () => {
     await expectRefusedWithoutLog('member');
   });
 
   /**
-   * A journal that came later stays in the state of one that joins, also once it is a voter, and the check for a log that is gone
-   * asks for founders only.
+   * A member that was added later stays in state `joining`, also as a voter, and must be checked like a founder.
    */
-  it('refuses to take part where it came later', async () => {
+  it('does not join if it was added to the group later', async () => {
     await expectRefusedWithoutLog('joining');
   });
 });
--- a/src/nodes/node-metrics.ts
+++ b/src/nodes/node-metrics.ts
@@ -1,4 +1,4 @@
-/** Counters and gauges of a process that is a member of a replicated group. */
+/** Metrics of a process that is a member of a consensus group. */
 import { Registry } from 'prom-client';
 import type { ReplicatedGroup, ReplicationTraffic } from '../consensus/index.js';
 import type { WriteAheadLog } from '../log-store/index.js';
--- a/src/nodes/node-settings.ts
+++ b/src/nodes/node-settings.ts
@@ -1,4 +1,4 @@
-/** Settings of the processes that forward calls, whatever form they were read from. */
+/** Settings of the processes that forward calls, independent of the file format. */
 import type { ConsensusOptions } from '../consensus/index.js';
 import type { QuotaTolerance } from '../quotas/index.js';
 
@@ -6,36 +6,36 @@
   /** Unique name of the machine. */
   name: string;
   zone: string;
-  /** `host:port` of the internal endpoint, as other processes are told. */
+  /** `host:port` of the internal endpoint, as announced to other processes. */
   internalAddress: string;
-  /** `host:port` that the internal endpoint listens on, behind a relay. @default internalAddress */
+  /** `host:port` that the internal endpoint listens on, if behind a relay. @default internalAddress */
   listenAddress?: string;
-  /** Internal addresses of control processes to begin with. */
+  /** Internal addresses of control processes to contact first. */
   controlSeeds: string[];
-  /** Whether this is the first start of the whole system, on empty disks. */
+  /** Whether the whole system starts for the first time, with empty disks. */
   isFirstStart: boolean;
-  /** Folder for durable data; only control and journal processes have one. */
+  /** Folder for durable data, used by control and journal processes only. */
   dataFolder?: string;
-  /** Machines that may be lost at one time. */
+  /** Number of machines that may be lost at the same time. */
   toleratedLosses: number;
-  /** Time between two heartbeats of a back end, in milliseconds. */
+  /** Interval between heartbeats of a backend, in milliseconds. */
   heartbeatIntervalMs: number;
-  /** No call may run that was sent so long after its key was taken away, in milliseconds. @default no bound */
+  /** Time after the revocation of a key from which calls with it must not run, in milliseconds. @default no bound */
   revocationBoundMs?: number;
-  /** How far above their limits tenants may be at worst. @default not at all */
+  /** By how much tenants may exceed their limits. @default not at all */
   quotaTolerance?: QuotaTolerance;
   /** Shared secret of the internal protocol. */
   secret: string;
-  /** Bytes of memory beyond which the process is killed. @default no limit */
+  /** Memory limit above which the process is killed. @default no limit */
   memoryLimitBytes?: number;
-  /** Bytes that the data folder may take. @default no limit */
+  /** Maximum size of the data folder. @default no limit */
   storageQuotaBytes?: number;
 }
 
 /**
- * Timing of the groups of these processes. Members are a few milliseconds apart. A restarted
- * member's first election comes early, since a whole group that lost power has no leader to wait
- * for; where there is one, the pre-vote disturbs nobody.
+ * Consensus timing for members that are a few milliseconds apart. The first election after a restart
+ * starts early, because a group that lost power as a whole has no leader to wait for; the pre-vote
+ * protects an existing leader.
  */
 export const CONSENSUS_TIMING: ConsensusOptions = {
   heartbeatIntervalMs: 60,
@@ -44,7 +44,7 @@
   disconnectTimeoutMs: 130,
 };
 
-/** Voters of a group that must outlive so many lost machines. */
+/** Returns the number of voters that a group needs to survive the loss of so many machines. */
 export function voterCountFor(toleratedLosses: number): number {
   return 2 * toleratedLosses + 1;
 }
--- a/src/nodes/v8-flags.ts
+++ b/src/nodes/v8-flags.ts
@@ -1,24 +1,23 @@
 /**
- * Flags of the JavaScript engine that are set once all modules are loaded. On the command line they
- * would cost every start: Node's own modules come with compiled code, which the engine only takes
- * when its flags are those that Node was built with.
+ * V8 flags that are set after all modules are loaded. On the command line they would slow down every
+ * start, because V8 accepts the code cache of Node's own modules only with the flags of Node's build.
  */
 import { getHeapStatistics, setFlagsFromString } from 'node:v8';
 
 const BYTES_PER_MB = 1024 * 1024;
 
 /**
- * WebAssembly is compiled once, without optimizing: the HTTP parser is the only large module, and
- * the optimizing compiler held 15 MB for it (docs/measures/rounds.md).
+ * Compiles WebAssembly with the baseline compiler only. The HTTP parser is the only large module, and
+ * the optimizing compiler would use 15 MB for it.
  */
 const WEBASSEMBLY_FLAG = '--liftoff-only';
 
-/** Call it after the role's modules are loaded and before its first connection. */
+/** Must be called after the role's modules are loaded and before the first connection. */
 export function setV8Flags(): void {
   setFlagsFromString(WEBASSEMBLY_FLAG);
 }
 
-/** The engine's limit for the heap, which follows from the machine's memory, in MB. */
+/** Returns V8's heap limit, which depends on the machine's memory. */
 export function heapLimitMb(): number {
   return Math.round(getHeapStatistics().heap_size_limit / BYTES_PER_MB);
 }
