--- a/src/settings/common-settings.ts
+++ b/src/settings/common-settings.ts
@@ -1,4 +1,4 @@
-/** Settings that several kinds of process share. */
+/** Settings shared by several kinds of process. */
 import { z } from 'zod';
 import { duration } from './units.js';
 
@@ -11,7 +11,7 @@
   .regex(/^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/, 'must be letters, digits, ".", "_" or "-"');
 
 export const nodeSettingsSchema = z.strictObject({
-  /** The process's name; unique among those of its kind, stable over restarts. */
+  /** Unique among the processes of the same kind, and stable across restarts. */
   name,
   zone: name,
 });
@@ -21,14 +21,14 @@
 });
 
 export const networkSettingsSchema = z.strictObject({
-  /** Addresses to connect to in place of announced ones, for forwarded ports. */
+  /** Maps announced addresses to the addresses to connect to, for forwarded ports. */
   dialOverrides: z.record(address, address).default({}),
 });
 
 export const durationWithDefault = (text: string): z.ZodPrefault<ReturnType<typeof duration>> =>
   duration().prefault(text);
 
-/** Turns an announced address into the one to connect to. */
+/** Returns a function that maps an announced address to the one to connect to. */
 export function createAddressResolver(
   network: z.infer<typeof networkSettingsSchema>,
 ): (address: string) => string {
--- a/src/settings/control-settings.ts
+++ b/src/settings/control-settings.ts
@@ -19,31 +19,31 @@
     operatorPort: port,
     statusPort: port.default(0),
   }),
-  /** Folder of this member's durable state; created when missing. */
+  /** Folder for this member's durable state; created if missing. */
   dataFolder: z.string().min(1),
   cluster: z.strictObject({
-    /** Shared by all processes of the system; proves that a peer belongs to it. */
+    /** Shared by all processes of the system, to authenticate peers. */
     secret: z.string().min(16, 'must have at least 16 characters'),
     members: z
       .array(
         z.strictObject({
           name,
           zone: name,
-          /** Region of the zone; a group is spread over regions first. @default one for all */
+          /** Region of the zone; groups are spread across regions first. @default one for all */
           region: name.default('region'),
           address,
         }),
       )
       .min(1),
-    /** How many groups share the programs; fixed once the cluster is founded. */
+    /** Number of groups that programs are partitioned into; fixed when the cluster is created. */
     journalGroups: z.number().int().min(1).max(4096).default(4),
-    /** Members that hold each group. */
+    /** Number of members of each group. */
     replicas: z.number().int().min(1).max(7).default(5),
   }),
   operators: z.array(z.strictObject({ name, keyHash: z.string().regex(/^[0-9a-f]{64}$/) })).min(1),
   platform: z
     .strictObject({
-      /** Where the platform lists live and leaving machines. */
+      /** Address of the platform's list of live and leaving machines. */
       machineList: address.optional(),
     })
     .prefault({}),
--- a/src/settings/errors.ts
+++ b/src/settings/errors.ts
@@ -1,4 +1,4 @@
 import { LedgegaugeError } from '../common/index.js';
 
-/** The settings are wrong; the message names file, path in the file and what would be right. */
+/** The settings are invalid; the message names the file, the path in it and what is expected. */
 export class SettingsError extends LedgegaugeError {}
--- a/src/settings/gateway-settings.ts
+++ b/src/settings/gateway-settings.ts
@@ -38,19 +38,19 @@
   lease: z.strictObject({ renewInterval: durationWithDefault('400ms') }).prefault({}),
   calls: z
     .strictObject({
-      /** Longest request body. */
+      /** Maximum size of a request body. */
       maxBody: size().prefault('8MiB'),
       journalTimeout: durationWithDefault('3s'),
-      /** Longest time to the first token of a dispatched model call. */
+      /** Maximum time to the first token of a dispatched model call. */
       firstTokenTimeout: durationWithDefault('30s'),
-      /** Longest silence within a stream. */
+      /** Maximum time without data within a stream. */
       idleTimeout: durationWithDefault('3s'),
       serviceTimeout: durationWithDefault('3s'),
-      /** Longest time of the first attempts of a call that may be repeated. */
+      /** Timeout of the first attempts of a repeatable call. */
       serviceTryTimeout: durationWithDefault('500ms'),
-      /** How long another gateway's call may be out of sight before it is taken over. */
+      /** How long a call of another gateway may make no progress before it is taken over. */
       takeoverGrace: durationWithDefault('600ms'),
-      /** Bytes of program histories kept in memory. */
+      /** Memory for cached program histories. */
       historyCache: size().prefault('16MiB'),
     })
     .prefault({}),
@@ -58,25 +58,25 @@
     .strictObject({
       policy: z.enum(routingPolicyNames).default('predicted-finish'),
       /**
-       * What a prompt token that has to be computed again weighs against one of queueing. Above 1,
-       * because it also drives out what others have cached.
+       * Cost of a prompt token that must be recomputed, relative to a queued token. Above 1, because
+       * recomputing also evicts the cached prefixes of others.
        */
       prefixWeight: z.number().positive().default(4),
-      /** An engine is asked for its load when the last report is older. */
+      /** An engine is polled for its load when its last report is older. */
       maxLoadAge: durationWithDefault('250ms'),
-      /** Questions for load a second, to all engines together. */
+      /** Maximum load polls per second, over all engines. */
       maxLoadPolls: z.number().positive().default(50),
-      /** Engines of one model that the gateway considers at most, near ones first. */
+      /** Maximum number of engines per model that the gateway uses, nearest first. */
       engineSubset: z.number().int().min(1).default(48),
     })
     .prefault({}),
   queue: z
     .strictObject({
       policy: z.enum(queuePolicyNames).default('attained-service'),
-      /** Calls that may wait here for a back end. */
+      /** Maximum number of calls waiting for a backend. */
       maxWaiting: z.number().int().min(0).default(256),
       maxWait: durationWithDefault('15s'),
-      /** Calls that this gateway may have at one engine. */
+      /** Maximum number of concurrent calls of this gateway to one engine. */
       engineConcurrency: z.number().int().min(1).default(24),
       serviceConcurrency: z.number().int().min(1).default(64),
     })
@@ -85,7 +85,7 @@
     .strictObject({
       policy: z.enum(holdPolicyNames).default('expected-saving'),
       maxHold: durationWithDefault('20s'),
-      /** What a second of program latency weighs against the same of engine memory. */
+      /** Weight of a second of program latency relative to a second of engine memory. */
       latencyWeight: z.number().min(0).max(1).default(0.5),
     })
     .prefault({}),
--- a/src/settings/index.ts
+++ b/src/settings/index.ts
@@ -1,4 +1,4 @@
-/** Settings files: reading, checking, units. */
+/** Settings files: loading, validation, units. */
 export * from './common-settings.js';
 export * from './control-settings.js';
 export * from './errors.js';
--- a/src/settings/load-settings.ts
+++ b/src/settings/load-settings.ts
@@ -1,18 +1,18 @@
-/** Reads a YAML settings file, lays flags over it and checks the whole against a schema. */
+/** Loads a YAML settings file, applies overrides from flags and validates the result. */
 import { readFileSync } from 'node:fs';
 import { parseDocument } from 'yaml';
 import type { z } from 'zod';
 import { SettingsError } from './errors.js';
 
-/** A flag's place in the settings, for example `node.name`, and its text. */
+/** Path of a setting, for example `node.name`, and its value as text. */
 export interface SettingOverride {
   path: string;
   value: string;
 }
 
 /**
- * Loads settings in their checked form.
- * @throws SettingsError naming the file, the path in it and what would be right
+ * Loads and validates settings.
+ * @throws SettingsError naming the file, the path in it and what is expected
  */
 export function loadSettings<Schema extends z.ZodType>(
   schema: Schema,
@@ -24,7 +24,7 @@
   return checkSettings(schema, raw, file);
 }
 
-/** Checks settings that are already parsed. @throws SettingsError */
+/** Validates settings that are already parsed. @throws SettingsError */
 export function checkSettings<Schema extends z.ZodType>(
   schema: Schema,
   raw: unknown,
--- a/src/settings/settings.test.ts
+++ b/src/settings/settings.test.ts
@@ -1,4 +1,4 @@
-/** Settings files: what is wrong is named with file, path and what would be right. */
+/** Settings files: errors name the file, the path in it and what is expected. */
 import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { describe, expect, it } from 'vitest';
@@ -7,7 +7,7 @@
 import { gatewaySettingsSchema } from './gateway-settings.js';
 import { type SettingOverride, loadSettings } from './load-settings.js';
 
-const GOOD = `
+const VALID = `
 node: { name: gateway-1, zone: cairo-a }
 listen: { callerPort: 8080 }
 cluster:
@@ -32,34 +32,38 @@
 }
 
 describe('settings', () => {
-  it('are completed with defaults and units', () => {
-    expect(load(`${GOOD}\ncalls: { journalTimeout: 4s, maxBody: 1MiB }`)).toMatchObject({
+  it('apply defaults and units', () => {
+    expect(load(`${VALID}\ncalls: { journalTimeout: 4s, maxBody: 1MiB }`)).toMatchObject({
       calls: { journalTimeout: 4_000, maxBody: 1_048_576, idleTimeout: 3_000 },
       routing: { policy: 'predicted-finish' },
     });
   });
 
   it.each([
-    ['an unknown key', `${GOOD}\ncals: {}`, /gateway\.yaml: .*cals/],
-    ['an unknown key below', `${GOOD}\ncalls: { maxBdy: 1MiB }`, /calls: .*maxBdy/],
-    ['a number without unit', `${GOOD}\ncalls: { idleTimeout: 3 }`, /calls\.idleTimeout: .*250ms/],
-    ['a wrong unit', `${GOOD}\ncalls: { idleTimeout: 3 weeks }`, /calls\.idleTimeout: "3 weeks"/],
-    ['an impossible value', `${GOOD}\nretention: { latencyWeight: 2 }`, /retention\.latencyWeight/],
-    ['an unknown policy', `${GOOD}\nrouting: { policy: lucky }`, /routing\.policy: .*sticky/],
-    ['a missing part', 'node: { name: a, zone: b }', /listen/],
+    ['an unknown key', `${VALID}\ncals: {}`, /gateway\.yaml: .*cals/],
+    ['an unknown nested key', `${VALID}\ncalls: { maxBdy: 1MiB }`, /calls: .*maxBdy/],
+    ['a number without unit', `${VALID}\ncalls: { idleTimeout: 3 }`, /calls\.idleTimeout: .*250ms/],
+    ['a wrong unit', `${VALID}\ncalls: { idleTimeout: 3 weeks }`, /calls\.idleTimeout: "3 weeks"/],
+    [
+      'an out-of-range value',
+      `${VALID}\nretention: { latencyWeight: 2 }`,
+      /retention\.latencyWeight/,
+    ],
+    ['an unknown policy', `${VALID}\nrouting: { policy: lucky }`, /routing\.policy: .*sticky/],
+    ['a missing section', 'node: { name: a, zone: b }', /listen/],
     ['broken YAML', 'node: [', /gateway\.yaml/],
-    ['a key given twice', `${GOOD}\nnode: { name: b, zone: c }`, /unique/i],
+    ['a duplicate key', `${VALID}\nnode: { name: b, zone: c }`, /unique/i],
     ['a list', '- 1', /must hold a mapping/],
-  ])('with %s are refused', (_, text, expected) => {
+  ])('with %s are rejected', (_, text, expected) => {
     expect(problemOf(text)).toMatch(expected);
   });
 
-  it('give way to flags', () => {
+  it('are overridden by flags', () => {
     const overrides = [{ path: 'listen.callerPort', value: '9090' }];
-    expect(load(GOOD, overrides)).toMatchObject({ listen: { callerPort: 9090 } });
+    expect(load(VALID, overrides)).toMatchObject({ listen: { callerPort: 9090 } });
   });
 
-  it('name a file that cannot be read', () => {
+  it('report a file that cannot be read', () => {
     const load = (): unknown => loadSettings(gatewaySettingsSchema, '/does/not/exist.yaml');
     expect(load).toThrow(SettingsError);
   });
