--- a/src/observability/duration-summary.ts
+++ b/src/observability/duration-summary.ts
@@ -1,4 +1,4 @@
-/** Count, mean and longest of durations since they were last read, for a log line at intervals. */
+/** Count, mean and maximum of the durations since the last reading, for periodic log lines. */
 
 export interface DurationStats {
   count: number;
@@ -11,13 +11,13 @@
   private sumMs = 0;
   private maxMs = 0;
 
-  record(tookMs: number): void {
+  record(durationMs: number): void {
     this.count += 1;
-    this.sumMs += tookMs;
-    this.maxMs = Math.max(this.maxMs, tookMs);
+    this.sumMs += durationMs;
+    this.maxMs = Math.max(this.maxMs, durationMs);
   }
 
-  /** Reads the figures, rounded to whole milliseconds, and begins anew. */
+  /** Returns the statistics, rounded to whole milliseconds, and resets them. */
   readAndReset(): DurationStats {
     const { count, sumMs, maxMs } = this;
     this.count = 0;
--- a/src/observability/event-log.ts
+++ b/src/observability/event-log.ts
@@ -1,18 +1,18 @@
 /**
- * Decision logs: one JSON object a line on standard output, each with a typed event name. Writing
- * never blocks and its volume is bounded; see line-writer.ts.
+ * Decision log: one JSON object per line on standard output, each with an event name. Writing never
+ * blocks, and its volume is bounded; see line-writer.ts.
  */
 import type { Logger, LogFields, LogLevel } from './logger.js';
 import { LineWriter, type LineWriterOptions } from './line-writer.js';
 
 export interface EventLogOptions extends LineWriterOptions {
-  /** Fields that every line carries. */
+  /** Fields added to every line. */
   base: LogFields;
 }
 
-const PRIORITY_LEVELS: ReadonlySet<LogLevel> = new Set<LogLevel>(['warn', 'error']);
+const HIGH_PRIORITY_LEVELS: ReadonlySet<LogLevel> = new Set<LogLevel>(['warn', 'error']);
 
-/** A logger over a bounded writer; its message is the event's name. */
+/** Logger on top of a rate-limited writer; the message is the event name. */
 export class EventLog implements Logger {
   readonly writer: LineWriter;
 
@@ -21,7 +21,7 @@
   }
 
   debug(): void {
-    // Not written by this log.
+    // Debug lines are not written.
   }
 
   info(event: string, fields?: LogFields): void {
@@ -39,6 +39,6 @@
   private line(level: LogLevel, event: string, fields?: LogFields): void {
     const time = new Date().toISOString();
     const line = JSON.stringify({ time, level, event, ...this.options.base, ...fields });
-    this.writer.write(line, PRIORITY_LEVELS.has(level) ? 'high' : 'normal');
+    this.writer.write(line, HIGH_PRIORITY_LEVELS.has(level) ? 'high' : 'normal');
   }
 }
--- a/src/observability/gauge.ts
+++ b/src/observability/gauge.ts
@@ -1,4 +1,4 @@
-/** Gauges that read their figure at each scrape. */
+/** Gauges whose value is read at each scrape. */
 import { Gauge, type Registry } from 'prom-client';
 
 export function addGauge(registry: Registry, name: string, help: string, read: () => number): void {
--- a/src/observability/index.ts
+++ b/src/observability/index.ts
@@ -1,4 +1,4 @@
-/** Logs, metrics and the status pages of a process. */
+/** Logs, metrics and the status server of a process. */
 export { DurationSummary, type DurationStats } from './duration-summary.js';
 export { addGauge } from './gauge.js';
 export { GatewayMetrics } from './gateway-metrics.js';
--- a/src/observability/line-writer.test.ts
+++ b/src/observability/line-writer.test.ts
@@ -1,4 +1,4 @@
-/** Bounded log lines: a reader that stalls costs lines, never time. */
+/** A stalled reader of the log must cause dropped lines, not delays. */
 import { closeSync, openSync, readFileSync } from 'node:fs';
 import { spawn } from 'node:child_process';
 import { join } from 'node:path';
@@ -7,10 +7,10 @@
 import { waitUntil } from '../../tests/support/wait-until.js';
 import { LineWriter } from './line-writer.js';
 
-const BUDGET = { linesPerSecond: 100, bytesPerSecond: 10_000 };
+const RATE_LIMIT = { linesPerSecond: 100, bytesPerSecond: 10_000 };
 
 describe('line writer', () => {
-  it('writes whole lines in order', async () => {
+  it('writes complete lines in order', async () => {
     const path = join(temporaryFolder(), 'log');
     const descriptor = openSync(path, 'w');
     const writer = new LineWriter({ descriptor });
@@ -21,23 +21,25 @@
     expect(readFileSync(path, 'utf8').split('\n')).toHaveLength(51);
   });
 
-  it('drops lines beyond its budget, ordinary ones first, and says how many', async () => {
+  it('drops lines above the rate limit, those of normal priority first, and logs how many', async () => {
     const path = join(temporaryFolder(), 'log');
     const descriptor = openSync(path, 'w');
-    const writer = new LineWriter({ descriptor, budget: BUDGET });
+    const writer = new LineWriter({ descriptor, budget: RATE_LIMIT });
     for (let line = 0; line < 200; line += 1) writer.write('ordinary', 'normal');
     for (let line = 0; line < 20; line += 1) writer.write('failure', 'high');
     writer.flush();
-    await waitUntil('drop told', () => readFileSync(path, 'utf8').includes('log.dropped'));
+    await waitUntil('dropped lines logged', () =>
+      readFileSync(path, 'utf8').includes('log.dropped'),
+    );
     closeSync(descriptor);
     const lines = readFileSync(path, 'utf8').trim().split('\n');
     expect(lines.filter((line) => line === 'failure')).toHaveLength(20);
     expect(writer.droppedLines).toBeGreaterThan(100);
-    const told = JSON.parse(lines.at(-1)!) as { lines: number };
-    expect(told.lines).toBe(writer.droppedLines);
+    const report = JSON.parse(lines.at(-1)!) as { lines: number };
+    expect(report.lines).toBe(writer.droppedLines);
   });
 
-  it('does not wait for a reader that has stalled', async () => {
+  it('does not block on a stalled reader', async () => {
     const source = `
       import { LineWriter } from ${JSON.stringify(join(process.cwd(), 'dist/src/observability/line-writer.js'))};
       const writer = new LineWriter({
@@ -62,11 +64,11 @@
     });
     // Nothing reads the child's standard output.
     child.stdout.pause();
-    let told = '';
-    child.stderr.on('data', (chunk: Buffer) => (told += chunk.toString()));
-    await waitUntil('rounds done', () => told.includes('\n'));
+    let output = '';
+    child.stderr.on('data', (chunk: Buffer) => (output += chunk.toString()));
+    await waitUntil('rounds done', () => output.includes('\n'));
     child.kill('SIGKILL');
-    const result = JSON.parse(told) as { longest: number; dropped: number };
+    const result = JSON.parse(output) as { longest: number; dropped: number };
     expect(result.dropped).toBeGreaterThan(1_000);
     expect(result.longest).toBeLessThan(200);
   });
--- a/src/observability/line-writer.ts
+++ b/src/observability/line-writer.ts
@@ -1,15 +1,15 @@
 /**
- * Writes log lines to a file descriptor without ever making the caller wait: lines are queued up to
- * a number of bytes, one write is under way at a time, and what does not fit is counted.
+ * Writes log lines to a file descriptor without blocking the caller: lines are queued up to a size
+ * limit, one write is in progress at a time, and dropped lines are counted.
  */
 import { write } from 'node:fs';
 
 export interface LineWriterOptions {
   /** @default 1, the standard output */
   descriptor?: number;
-  /** Bytes that may wait to be written. @default 262144 */
+  /** Maximum size of the queue. @default 262144 */
   maxQueuedBytes?: number;
-  /** Lines and bytes a second that are taken at most, with as much at once. */
+  /** Rate limit; bursts of one second's worth are accepted. */
   budget?: LineRateLimit;
 }
 
@@ -18,12 +18,12 @@
   bytesPerSecond: number;
 }
 
-/** Lines that matter more than others are kept when the budget is short. */
+/** High-priority lines are kept when the rate limit is nearly exhausted. */
 export type LinePriority = 'normal' | 'high';
 
 const DEFAULT_QUEUED_BYTES = 256 * 1024;
-const DEFAULT_BUDGET: LineRateLimit = { linesPerSecond: 1_000, bytesPerSecond: 512 * 1024 };
-/** Share of the budget that only lines of high priority may use. */
+const DEFAULT_RATE_LIMIT: LineRateLimit = { linesPerSecond: 1_000, bytesPerSecond: 512 * 1024 };
+/** Fraction of the limits that is reserved for high-priority lines. */
 const RESERVED_SHARE = 0.3;
 const FLUSH_DELAY_MS = 50;
 
@@ -39,25 +39,25 @@
   private byteTokens: number;
   private refilledAt = performance.now();
   private dropped = 0;
-  private droppedInAll = 0;
+  private totalDropped = 0;
 
   constructor(options: LineWriterOptions = {}) {
     this.descriptor = options.descriptor ?? 1;
     this.maxQueuedBytes = options.maxQueuedBytes ?? DEFAULT_QUEUED_BYTES;
-    this.budget = options.budget ?? DEFAULT_BUDGET;
+    this.budget = options.budget ?? DEFAULT_RATE_LIMIT;
     this.lineTokens = this.budget.linesPerSecond;
     this.byteTokens = this.budget.bytesPerSecond;
   }
 
-  /** Lines that were not written since the start. */
+  /** Total number of dropped lines. */
   get droppedLines(): number {
-    return this.droppedInAll;
+    return this.totalDropped;
   }
 
   write(line: string, priority: LinePriority): void {
-    if (!this.takeBudget(line.length + 1, priority)) {
+    if (!this.tryAcquire(line.length + 1, priority)) {
       this.dropped += 1;
-      this.droppedInAll += 1;
+      this.totalDropped += 1;
       return;
     }
     this.queue.push(line);
@@ -65,28 +65,28 @@
     this.timer ??= setTimeout(() => this.flush(), FLUSH_DELAY_MS).unref();
   }
 
-  /** Begins to write what is queued. */
+  /** Starts to write the queued lines. */
   flush(): void {
     clearTimeout(this.timer);
     this.timer = undefined;
     if (this.isWriting || this.queue.length === 0) return;
-    if (this.dropped > 0) this.queue.push(this.droppedLine());
+    if (this.dropped > 0) this.queue.push(this.formatDroppedLine());
     const bytes = Buffer.from(`${this.queue.join('\n')}\n`);
     this.queue = [];
-    this.writeOut(bytes, 0);
+    this.writeBytes(bytes, 0);
   }
 
-  private writeOut(bytes: Buffer, offset: number): void {
+  private writeBytes(bytes: Buffer, offset: number): void {
     this.isWriting = true;
     write(this.descriptor, bytes, offset, bytes.length - offset, null, (error, written) => {
       const end = offset + (written ?? 0);
       const isRetry = error?.code === 'EAGAIN' || error?.code === 'EINTR';
       if (isRetry) {
-        setTimeout(() => this.writeOut(bytes, end), FLUSH_DELAY_MS).unref();
+        setTimeout(() => this.writeBytes(bytes, end), FLUSH_DELAY_MS).unref();
         return;
       }
       if (!error && end < bytes.length) {
-        this.writeOut(bytes, end);
+        this.writeBytes(bytes, end);
         return;
       }
       this.isWriting = false;
@@ -95,7 +95,7 @@
     });
   }
 
-  private takeBudget(bytes: number, priority: LinePriority): boolean {
+  private tryAcquire(bytes: number, priority: LinePriority): boolean {
     this.refill();
     const share = priority === 'high' ? 0 : RESERVED_SHARE;
     const hasRoom = this.queuedBytes + bytes <= this.maxQueuedBytes * (1 - share);
@@ -116,7 +116,7 @@
     this.byteTokens = Math.min(bytesPerSecond, this.byteTokens + seconds * bytesPerSecond);
   }
 
-  private droppedLine(): string {
+  private formatDroppedLine(): string {
     const line = JSON.stringify({ event: 'log.dropped', lines: this.dropped });
     this.dropped = 0;
     return line;
--- a/src/observability/logger.ts
+++ b/src/observability/logger.ts
@@ -1,12 +1,12 @@
 /**
- * Structured logs: one JSON object a line on standard error, through loglevel. Lines are written
- * for changes of state only; everything that happens often is a counter (see metrics.ts).
+ * Structured logs: one JSON object per line on standard error, through loglevel. Only changes of state
+ * are logged; frequent events are counted in metrics.
  */
 import log from 'loglevel';
 
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error';
 
-/** Fields that a log line carries beside its message. */
+/** Additional fields of a log line. */
 export type LogFields = Record<string, string | number | boolean | undefined>;
 
 export interface Logger {
@@ -20,14 +20,14 @@
   if (methodName !== 'trace') process.stderr.write(`${line}\n`);
 };
 
-/** Sets the lowest level that is written. */
+/** Sets the minimum level that is written. */
 export function setLogLevel(level: LogLevel): void {
   log.setLevel(level, false);
 }
 
 setLogLevel('info');
 
-/** Makes a logger whose lines all carry `base`. */
+/** Creates a logger that adds `base` to every line. */
 export function createLogger(base: LogFields): Logger {
   const format = (level: LogLevel, message: string, fields?: LogFields): string =>
     JSON.stringify({ time: new Date().toISOString(), level, message, ...base, ...fields });
--- a/src/observability/status-server.ts
+++ b/src/observability/status-server.ts
@@ -1,4 +1,4 @@
-/** A small HTTP server with `/healthz`, `/readyz` and `/metrics` (Prometheus text format). */
+/** HTTP server for `/healthz`, `/readyz` and `/metrics` (Prometheus text format). */
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import type { Registry } from 'prom-client';
@@ -7,7 +7,7 @@
   host: string;
   port: number;
   registry: Registry;
-  /** Whether the process can do its duty now. */
+  /** Whether the process is ready to serve requests. */
   isReady: () => boolean;
 }
 
@@ -23,7 +23,7 @@
 
   static async start(options: StatusServerOptions): Promise<StatusServer> {
     const server = createServer((request, response) => {
-      void answer(options, request.url ?? '/').then((page) => {
+      void createPage(options, request.url ?? '/').then((page) => {
         response.writeHead(page.status, { 'content-type': page.contentType });
         response.end(page.body);
       });
@@ -47,7 +47,7 @@
   body: string;
 }
 
-async function answer(options: StatusServerOptions, path: string): Promise<StatusPage> {
+async function createPage(options: StatusServerOptions, path: string): Promise<StatusPage> {
   if (path === '/healthz') return textPage(HTTP_OK, 'ok\n');
   if (path === '/readyz') {
     return options.isReady()
