--- a/src/explain/explanation.ts
+++ b/src/explain/explanation.ts
@@ -1,21 +1,21 @@
-/** Finds in the logs of many processes what became of one call or program, and what surrounded it. */
+/** Finds in the logs of many processes what happened to a call or program, and the state changes around it. */
 import type { LogRecord } from './log-record.js';
 import { type RestoredTurns, isHistoryMissing, restoredTurnsOf } from './restored-turns.js';
 
 export interface Explanation {
-  /** Lines that name the call or program, or the turn that it went on from while it ran, in order of time. */
+  /** Lines that name the call or program, or the call's previous turn while it ran, in order of time. */
   direct: LogRecord[];
-  /** Changes at the processes involved, and of the groups they depend on, shortly before. */
+  /** State changes of the processes involved and of the groups they depend on, around that time. */
   surrounding: LogRecord[];
-  /** Of each member of the ledger, where a turn was refused since its history was missing. */
+  /** For each ledger member, if a turn was refused because its history was missing. */
   restoredTurns: RestoredTurns[];
 }
 
-/** Changes so long before the first line still count, in milliseconds. */
+/** How long before the first line state changes are included. */
 const SURROUNDING_BEFORE_MS = 5_000;
 const SURROUNDING_AFTER_MS = 500;
 
-/** Events that change what processes believe. */
+/** Events that report a change of state. */
 const STATE_EVENTS: ReadonlySet<string> = new Set([
   'process.start',
   'process.stop',
@@ -44,15 +44,15 @@
   'log.dropped',
 ]);
 
-/** Members say so once a second while they look for values; only what was not found changes anything. */
+/** Logged once a second while a member fetches values; a change of state only if values are missing. */
 const KEPT_TURNS_FETCHED = 'kept turns fetched';
 
 const ID_FIELDS = ['call', 'program', 'session'] as const;
 
 export function explain(id: string, records: readonly LogRecord[]): Explanation {
-  const named = records.filter((record) => names(record, id));
-  const before = named.flatMap((record) => linesOfTurnBefore(record, records));
-  const direct = [...new Set([...named, ...before])].sort(byTime);
+  const named = records.filter((record) => mentions(record, id));
+  const previousTurnLines = named.flatMap((record) => linesOfPreviousTurn(record, records));
+  const direct = [...new Set([...named, ...previousTurnLines])].sort(byTime);
   const first = direct[0];
   const last = direct.at(-1);
   if (!first || !last) return { direct, surrounding: [], restoredTurns: [] };
@@ -69,23 +69,23 @@
   return { direct, surrounding, restoredTurns };
 }
 
-function names({ fields }: LogRecord, id: string): boolean {
-  return ID_FIELDS.some((field) => isId(fields[field], id));
+function mentions({ fields }: LogRecord, id: string): boolean {
+  return ID_FIELDS.some((field) => matchesId(fields[field], id));
 }
 
-/** Below the callers' interface the ids of tenants' things carry the tenant's name before them. */
-function isId(value: unknown, id: string): boolean {
+/** Internally, ids are prefixed with the name of the tenant. */
+function matchesId(value: unknown, id: string): boolean {
   return typeof value === 'string' && (value === id || value.endsWith(`:${id}`));
 }
 
-/** Lines on the history of a call: they name the turn that it goes on from, and not the call itself. */
-function linesOfTurnBefore(call: LogRecord, records: readonly LogRecord[]): LogRecord[] {
+/** Returns the lines about the history of a call, which name its previous turn and not the call itself. */
+function linesOfPreviousTurn(call: LogRecord, records: readonly LogRecord[]): LogRecord[] {
   const { previousTurn } = call.fields;
   if (typeof previousTurn !== 'string') return [];
   return records.filter(
     (record) =>
       record.node === call.node &&
-      isId(record.fields.turn, previousTurn) &&
+      matchesId(record.fields.turn, previousTurn) &&
       isBetween(record, startOf(call), Date.parse(call.time)),
   );
 }
@@ -95,7 +95,7 @@
   return typeof fields.missing === 'number' && fields.missing > 0;
 }
 
-/** Lines of calls are written at their end; they say how long they took. In milliseconds since 1970. */
+/** Start of a call in milliseconds since 1970: its line is written at the end and contains the duration. */
 function startOf({ time, fields }: LogRecord): number {
   return Date.parse(time) - (typeof fields.ms === 'number' ? fields.ms : 0);
 }
--- a/src/explain/index.ts
+++ b/src/explain/index.ts
@@ -1,4 +1,4 @@
-/** From the id of a call to its cause, by the decision logs of the processes. */
+/** Explains calls and summarizes runs from the decision logs of the processes. */
 export {
   type RunSummary,
   type SummaryWindow,
--- a/src/explain/log-record.ts
+++ b/src/explain/log-record.ts
@@ -1,4 +1,4 @@
-/** Reads the lines of decision logs. */
+/** Parser for the lines of decision logs. */
 
 /** One line of a process's log. */
 export interface LogRecord {
@@ -7,15 +7,15 @@
   event: string;
   process: string;
   node: string;
-  /** Everything else the line says. */
+  /** All other fields. */
   fields: Readonly<Record<string, unknown>>;
 }
 
 const NAMED_FIELDS = new Set(['time', 'level', 'event', 'process', 'node']);
 
 /**
- * Reads one line; anything before the first brace, such as a collector's time stamp, is passed over.
- * @returns nothing when the line is no record
+ * Parses one line; a prefix before the first brace, such as a collector's timestamp, is skipped.
+ * @returns undefined if the line is not a log record
  */
 export function parseLogLine(line: string): LogRecord | undefined {
   const start = line.indexOf('{');
--- a/src/explain/missing-history.test.ts
+++ b/src/explain/missing-history.test.ts
@@ -1,8 +1,6 @@
 /**
- * Turns that went on from turns of before a loss of power were refused by every gateway, for ten seconds. The gateways'
- * lines said "reservation failed", the journals' lines "asked 3, missing 3"; that two journals had come back with less
- * than half of the turns that their state names could be told from no line that `explain` showed: they had started
- * long before the refusal, and their lines name no call.
+ * The explanation of a turn refused for its missing history must show which journals lost kept turns, although their
+ * lines were logged long before the refusal and name no call.
  */
 import { describe, expect, it } from 'vitest';
 import { explain } from './explanation.js';
@@ -32,7 +30,7 @@
   .map(parseLogLine)
   .filter((record): record is LogRecord => record !== undefined);
 
-const LACKING = [
+const EXPECTED_TURNS = [
   {
     node: 'journal-2',
     at: '2026-01-01T00:01:33.510Z',
@@ -51,12 +49,15 @@
   { node: 'journal-3', at: '2026-01-01T00:01:34.100Z', named: 1980, missing: 0 },
 ];
 
-describe('the explanation of a turn whose history was missing', () => {
-  it.each(['late', 'p1', 'earlier-words'])('tells from %s what each member lacked', (id) => {
-    expect(explain(id, records).restoredTurns).toEqual(LACKING);
-  });
+describe('the explanation of a turn with a missing history', () => {
+  it.each(['late', 'p1', 'earlier-words'])(
+    'lists the missing turns of each member for %s',
+    (id) => {
+      expect(explain(id, records).restoredTurns).toEqual(EXPECTED_TURNS);
+    },
+  );
 
-  it('shows the step that failed, and what the gateway heard of the turn before', () => {
+  it('shows the failed step and the log lines about the previous turn', () => {
     const { direct } = explain('late', records);
     expect(direct.map(({ event }) => event)).toEqual([
       'history not read',
@@ -67,14 +68,14 @@
     expect(direct.at(-1)!.fields).toMatchObject({ failedStep: 'read-history', leaderAgeMs: 80 });
   });
 
-  it('shows of fetches around it only those that found nothing', () => {
+  it('shows only fetches with missing values', () => {
     const fetched = explain('late', records).surrounding.filter(
       ({ event }) => event === 'kept turns fetched',
     );
     expect(fetched.map(({ node }) => node)).toEqual(['journal-1']);
   });
 
-  it('says nothing of kept turns where another cause was told', () => {
+  it('omits kept turns if the call failed for another reason', () => {
     expect(explain('other', records).restoredTurns).toEqual([]);
   });
 });
--- a/src/explain/restored-turns.ts
+++ b/src/explain/restored-turns.ts
@@ -1,18 +1,18 @@
-/** What members of the ledger held of the kept turns that their state names, when a turn found its history missing. */
+/** Kept turns that the ledger members had restored when a turn was refused for its missing history. */
 import type { LogRecord } from './log-record.js';
 
-/** One member, by its latest restored state before the refusal. */
+/** Latest restored state of one member before the refusal. */
 export interface RestoredTurns {
   node: string;
   /** When the state was restored. */
   at: string;
-  /** When the process had started, if a line tells. */
+  /** When the process had started, if logged. */
   startedAt?: string;
-  /** Turns that the state named. */
+  /** Number of turns that the state refers to. */
   named: number;
-  /** Those whose values were not held. */
+  /** Number of those turns whose values were not stored. */
   missing: number;
-  /** Values that its store held when it was opened, if a line tells. */
+  /** Number of values in the store when it was opened, if logged. */
   storedValues?: number;
 }
 
@@ -21,7 +21,7 @@
 const STARTED = 'process.start';
 const MISSING_REASON = /kept turns are held by no member/;
 
-/** Whether a line says that a turn was refused since no member gave its history. */
+/** Whether a line reports that a turn was refused because no member had its history. */
 export function isHistoryMissing({ fields }: LogRecord): boolean {
   const { outcome, failedStep, reason } = fields;
   return (
@@ -32,7 +32,7 @@
 }
 
 /**
- * Those that lack most first.
+ * Returns the members, those with the most missing turns first.
  * @param records of all processes
  * @param until time of the refusal, in milliseconds since 1970
  */
@@ -45,7 +45,7 @@
     .sort((left, right) => right.missing - left.missing);
 }
 
-/** @param records of one member, at least one of which says what was restored */
+/** @param records of one member, at least one of which reports the restored turns */
 function describeMember(records: readonly LogRecord[]): RestoredTurns {
   const { node, time: at, fields } = latestOf(records, RESTORED)!;
   return {
@@ -60,11 +60,11 @@
 
 function latestOf(
   records: readonly LogRecord[],
-  wanted: string,
+  eventName: string,
   until = Infinity,
 ): LogRecord | undefined {
   return records
-    .filter(({ event, time }) => event === wanted && Date.parse(time) <= until)
+    .filter(({ event, time }) => event === eventName && Date.parse(time) <= until)
     .reduce<LogRecord | undefined>(
       (latest, record) =>
         latest && Date.parse(latest.time) > Date.parse(record.time) ? latest : record,
--- a/src/explain/run-summary.test.ts
+++ b/src/explain/run-summary.test.ts
@@ -1,4 +1,4 @@
-/** What the logs of a run add up to. */
+/** Summary of a run from its log records. */
 import { describe, expect, it } from 'vitest';
 import { summarizeRun } from './run-summary.js';
 import type { LogRecord } from './log-record.js';
@@ -27,8 +27,8 @@
   });
 }
 
-describe('the account of a run', () => {
-  it('divides the time of turns into parts that add up to the whole', () => {
+describe('summarizeRun', () => {
+  it('splits the latency of turns into phases that add up to the total', () => {
     const { turns } = summarizeRun([
       turn(0),
       turn(100, { ms: 500, sends: 'e1@0+0:broken e2@0+0:complete' }),
@@ -40,7 +40,7 @@
     expect(ledgerMs + firstEventMs + generatingMs + keepingMs).toBe(400);
   });
 
-  it('shows turns and failures by the second', () => {
+  it('groups turns and failures into time windows', () => {
     const failure = call(4_100, {
       call: 'f',
       outcome: 'time-limit',
@@ -54,12 +54,12 @@
     ]);
   });
 
-  it('tells late and failed programs, and failures by reason and back end', () => {
+  it('counts late and failed programs, and failures by outcome and backend', () => {
     const failure = {
       outcome: 'time-limit',
       sends: 'e1@0+0-0t/3ms:other side closed e3@9+1-5t/4ms:x',
     };
-    const account = summarizeRun([
+    const summary = summarizeRun([
       turn(0, { program: 'late', remainingMs: 0 }),
       turn(10, { program: 'late', remainingMs: 0 }),
       call(20, { call: 'f1', program: 'lost', ...failure }),
@@ -67,15 +67,15 @@
       turn(40, { program: 'saved' }),
       call(50, { call: 'b', program: 'spent', outcome: 'budget-exhausted' }),
     ]);
-    expect(account.programs).toEqual({ seen: 4, late: 1, failed: 1 });
-    expect(account.failures).toEqual([
+    expect(summary.programs).toEqual({ seen: 4, late: 1, failed: 1 });
+    expect(summary.failures).toEqual([
       { outcome: 'time-limit', backend: 'e3', calls: 2, examples: ['f1', 'f2'] },
     ]);
   });
 
-  it('has nothing to tell of logs without calls', () => {
-    const account = summarizeRun([{ ...turn(0), event: 'process.start' }]);
-    expect(account.turns.turns).toBe(0);
-    expect(account.windows).toEqual([]);
+  it('returns an empty summary for logs without calls', () => {
+    const summary = summarizeRun([{ ...turn(0), event: 'process.start' }]);
+    expect(summary.turns.turns).toBe(0);
+    expect(summary.windows).toEqual([]);
   });
 });
--- a/src/explain/run-summary.ts
+++ b/src/explain/run-summary.ts
@@ -1,40 +1,40 @@
 /**
- * Where the time of a whole run went, from the decision logs of its processes: turns by their parts and
- * by the second, programs against their objectives, and calls that failed by reason and back end.
+ * Summary of a run from the decision logs of its processes: latency of turns by phase and time window,
+ * programs that missed their objectives, and failed calls by outcome and backend.
  */
 import { groupBy } from '../common/index.js';
 import type { LogRecord } from './log-record.js';
 
-/** Mean times of the parts of turns, in milliseconds. */
+/** Mean durations of the phases of turns, in milliseconds. */
 export interface TurnLatencyBreakdown {
   turns: number;
-  /** Setting tokens aside at the ledger. */
+  /** Reserving tokens in the ledger. */
   ledgerMs: number;
-  /** From there to the first event: choosing, connecting, waiting for a place, reading. */
+  /** From the reservation to the first event: placement, connecting, queueing, prefill. */
   firstEventMs: number;
   generatingMs: number;
-  /** Holding the end until the turn was kept. */
+  /** Delaying the end of the response until the turn was stored. */
   keepingMs: number;
-  /** Turns that were sent more than once. */
+  /** Number of turns that were sent more than once. */
   sentAgain: number;
 }
 
-/** Turns that ended in one span of time. */
+/** Turns that ended in one time window. */
 export interface SummaryWindow extends TurnLatencyBreakdown {
-  /** Start of the span, in seconds after the first line of a call. */
+  /** Start of the window, in seconds after the first line of a call. */
   fromSecond: number;
   medianMs: number;
   p95Ms: number;
-  /** Calls of programs that ended without an answer. */
+  /** Calls that ended without an answer. */
   failed: number;
 }
 
 export interface FailureCount {
   outcome: string;
-  /** The last back end that the call was sent to, if any. */
+  /** Last backend that the call was sent to; empty if none. */
   backend: string;
   calls: number;
-  /** Ids of some of them. */
+  /** Ids of some of the calls. */
   examples: string[];
 }
 
@@ -55,13 +55,13 @@
 
 const WINDOW_SECONDS = 2;
 const MAX_EXAMPLES = 3;
-/** The beginning of each send in a call's line: back end, own load, others' load. */
-const SEND = /(\S+)@\d+\+\d+/g;
+/** Matches the start of each send in a call's line: backend, own load, load of other gateways. */
+const SEND_PATTERN = /(\S+)@\d+\+\d+/g;
 const ANSWERED = 'answered';
-/** Outcomes that the caller or the operator brought about. */
+/** Outcomes caused by the caller or the operator. */
 const EXPECTED_OUTCOMES: ReadonlySet<string> = new Set(['budget-exhausted', 'no-route']);
 
-/** What the line of one call says. */
+/** Parsed log line of one call. */
 interface CallLine {
   id: string;
   endedAt: number;
@@ -73,7 +73,7 @@
   reserveMs: number;
   keepMs: number;
   isLate: boolean;
-  /** Back ends that it was sent to, in order. */
+  /** Backends that the call was sent to, in order. */
   sentTo: string[];
 }
 
@@ -82,8 +82,8 @@
   calls.sort((left, right) => left.endedAt - right.endedAt);
   const turns = calls.filter((call) => call.isTurn && call.outcome === ANSWERED);
   return {
-    turns: partsOf(turns),
-    windows: windowsOf(calls),
+    turns: meanLatencies(turns),
+    windows: summarizeWindows(calls),
     programs: countPrograms(calls),
     failures: countFailures(calls.filter(hasFailed)),
   };
@@ -102,7 +102,7 @@
     reserveMs: numberOf(fields.reserveMs),
     keepMs: numberOf(fields.keepMs),
     isLate: fields.remainingMs === 0,
-    sentTo: [...sends.matchAll(SEND)].map(([, backend]) => backend!),
+    sentTo: [...sends.matchAll(SEND_PATTERN)].map(([, backend]) => backend!),
   };
 }
 
@@ -110,7 +110,7 @@
   return outcome !== ANSWERED && !EXPECTED_OUTCOMES.has(outcome);
 }
 
-function partsOf(turns: readonly CallLine[]): TurnLatencyBreakdown {
+function meanLatencies(turns: readonly CallLine[]): TurnLatencyBreakdown {
   const mean = (part: (turn: CallLine) => number): number =>
     turns.length === 0 ? 0 : turns.reduce((sum, turn) => sum + part(turn), 0) / turns.length;
   return {
@@ -123,20 +123,20 @@
   };
 }
 
-function windowsOf(calls: readonly CallLine[]): SummaryWindow[] {
+function summarizeWindows(calls: readonly CallLine[]): SummaryWindow[] {
   const start = calls[0]?.endedAt ?? 0;
-  const spanOf = ({ endedAt }: CallLine): number =>
+  const windowIndexOf = ({ endedAt }: CallLine): number =>
     Math.floor((endedAt - start) / (WINDOW_SECONDS * 1_000));
-  const spans = groupBy(calls, (call) => String(spanOf(call)));
-  return [...spans].map(([span, inSpan]) => {
-    const turns = inSpan.filter((call) => call.isTurn && call.outcome === ANSWERED);
+  const callsByWindow = groupBy(calls, (call) => String(windowIndexOf(call)));
+  return [...callsByWindow].map(([windowIndex, inWindow]) => {
+    const turns = inWindow.filter((call) => call.isTurn && call.outcome === ANSWERED);
     const times = turns.map(({ ms }) => ms).sort((left, right) => left - right);
     return {
-      fromSecond: Number(span) * WINDOW_SECONDS,
-      ...partsOf(turns),
+      fromSecond: Number(windowIndex) * WINDOW_SECONDS,
+      ...meanLatencies(turns),
       medianMs: quantile(times, 0.5),
       p95Ms: quantile(times, 0.95),
-      failed: inSpan.filter(hasFailed).length,
+      failed: inWindow.filter(hasFailed).length,
     };
   });
 }
