--- a/src/operators/index.ts
+++ b/src/operators/index.ts
@@ -1,3 +1,3 @@
-/** The operators' interface: plans, confirmation, status, history. */
+/** API for operators: plans, confirmation, status, history. */
 export * from './messages.js';
 export { OperatorApi, type OperatorApiOptions } from './operator-api.js';
--- a/src/operators/messages.ts
+++ b/src/operators/messages.ts
@@ -1,4 +1,4 @@
-/** What operators see of the system. */
+/** Status of the system as reported to operators. */
 import { defineMethod } from '../wire/index.js';
 import type { ConfigurationStatus } from '../control/intents-leader.js';
 
@@ -21,7 +21,7 @@
 export type StatusResponse =
   { status: ConfigurationStatus } | { redirect: { leaderAddress?: string } };
 
-/** Asks the leader of the intents group for the configuration's status. */
+/** Requests the configuration's status from the leader of the intents group. */
 export const CONFIGURATION_STATUS = defineMethod<Record<string, never>, StatusResponse>(
   'operators.configuration-status',
 );
--- a/src/operators/operator-api.ts
+++ b/src/operators/operator-api.ts
@@ -1,4 +1,4 @@
-/** The operators' HTTP interface of a control process; any of them answers for the whole system. */
+/** HTTP API for operators; every control process serves it for the whole system. */
 import type { IncomingMessage } from 'node:http';
 import { z } from 'zod';
 import { sha256Hex } from '../common/index.js';
@@ -86,7 +86,9 @@
     const operator = this.authenticate(request);
     const requestId = request.headers['idempotency-key'];
     if (typeof requestId !== 'string' || requestId.length === 0) {
-      throw badRequestProblem('an Idempotency-Key header is needed, so that a repeat does no harm');
+      throw badRequestProblem(
+        'an Idempotency-Key header is required, so that the request can be repeated safely',
+      );
     }
     const command: ConfirmCommand = {
       type: 'confirm',
@@ -115,7 +117,7 @@
 
   private async readStatus({ request, response }: HttpExchange): Promise<void> {
     this.authenticate(request);
-    const configuration = await orUnavailable(
+    const configuration = await mapGroupUnavailable(
       this.options.groups.callWithRedirect<
         Record<string, never>,
         StatusResponse,
@@ -162,14 +164,14 @@
 
   private execute<Command, Result>(command: Command): Promise<Result> {
     const limits = { timeoutMs: REQUEST_TIMEOUT_MS };
-    return orUnavailable(
+    return mapGroupUnavailable(
       this.options.groups.execute<Command, Result>(INTENTS_GROUP, command, limits),
     );
   }
 
   private query<Answer>(query: IntentQuery): Promise<Answer> {
     const limits = { timeoutMs: REQUEST_TIMEOUT_MS };
-    return orUnavailable(
+    return mapGroupUnavailable(
       this.options.groups.query<IntentQuery, Answer>(INTENTS_GROUP, query, limits),
     );
   }
@@ -177,14 +179,14 @@
 
 type Declaration = Omit<PlanCommand, 'operator'> | Omit<PartialPlanCommand, 'operator'>;
 
-/** A whole document, or with `set` or `remove` only what shall differ. */
+/** Parses a complete document, or with `set` or `remove` a partial one. */
 function readDeclaration(body: unknown): Declaration {
   if (isPartialDeclaration(body))
-    return { type: 'partial-plan', partial: check(partialDocumentSchema, body) };
-  return { type: 'plan', document: check(intentDocumentSchema, body) };
+    return { type: 'partial-plan', partial: validate(partialDocumentSchema, body) };
+  return { type: 'plan', document: validate(intentDocumentSchema, body) };
 }
 
-function check<Schema extends z.ZodType>(schema: Schema, body: unknown): z.infer<Schema> {
+function validate<Schema extends z.ZodType>(schema: Schema, body: unknown): z.infer<Schema> {
   const parsed = schema.safeParse(body);
   if (parsed.success) return parsed.data;
   const lines = parsed.error.issues.map((issue) => `${issue.path.join('.')}: ${issue.message}`);
@@ -201,11 +203,11 @@
   const { revision, operator, planId, contentHash } = result.current;
   const detail =
     `revision ${revision} was confirmed first: plan ${planId} of ${operator}, ` +
-    `content ${contentHash}; plan again`;
+    `content ${contentHash}; create a new plan`;
   return badRequestProblem(detail, 'stale_plan', 409);
 }
 
-async function orUnavailable<T>(work: Promise<T>): Promise<T> {
+async function mapGroupUnavailable<T>(work: Promise<T>): Promise<T> {
   try {
     return await work;
   } catch (error) {
@@ -213,7 +215,7 @@
     throw new HttpProblem({
       status: 503,
       code: 'control_unavailable',
-      detail: 'no quorum of the intents group can be reached; ask again with the same key',
+      detail: 'no quorum of the intents group can be reached; retry with the same key',
       outcome: 'unknown',
       sendAgain: true,
       retryAfterMs: RETRY_AFTER_MS,
