--- a/src/cli/check-config-command.ts
+++ b/src/cli/check-config-command.ts
@@ -1,18 +1,18 @@
-/** `check-config`: checks a settings file and starts nothing. */
+/** `check-config`: validates a settings file without starting a daemon. */
 import type { CAC } from 'cac';
 import type { z } from 'zod';
 import { SettingsError, loadSettings } from '../settings/index.js';
 import { UsageError } from './daemon-command.js';
 import { runAction } from './run-daemon.js';
 
-/** Schemas of a program's daemons, by the names of their commands. */
+/** Settings schemas of a program's daemons, by command name. */
 export type DaemonSchemas = Readonly<Record<string, z.ZodType>>;
 
 export function addCheckConfigCommand(cli: CAC, schemas: DaemonSchemas): void {
   const kinds = Object.keys(schemas).join(', ');
   cli
-    .command('check-config <file>', 'Check a settings file and start nothing')
-    .option('--kind <kind>', `One of ${kinds}; guessed from the file when left out`)
+    .command('check-config <file>', 'Validate a settings file without starting a daemon')
+    .option('--kind <kind>', `One of ${kinds}; detected from the file by default`)
     .action((file: string, flags: { kind?: string }) =>
       runAction(() => {
         checkConfig(schemas, file, flags.kind);
@@ -21,7 +21,7 @@
     );
 }
 
-/** @throws SettingsError for the kind that is asked for, or that comes nearest */
+/** @throws SettingsError for the given kind, or for the kind that matches best */
 function checkConfig(schemas: DaemonSchemas, file: string, kind: string | undefined): void {
   if (kind !== undefined) {
     const schema = schemas[kind];
@@ -39,7 +39,7 @@
       problems.push(error);
     }
   }
-  // The kind with fewer complaints is the one that was meant.
+  // The kind with the shortest list of errors is most likely the intended one.
   problems.sort((left, right) => left.message.length - right.message.length);
   throw problems[0]!;
 }
--- a/src/cli/daemon-command.ts
+++ b/src/cli/daemon-command.ts
@@ -1,4 +1,4 @@
-/** The parts that all daemons' commands share: `--config`, flags that override it, start. */
+/** Common part of the daemon commands: `--config`, overrides by flags, start. */
 import type { CAC, Command } from 'cac';
 import type { z } from 'zod';
 import { LedgegaugeError } from '../common/index.js';
@@ -27,7 +27,6 @@
   ) => Promise<Daemon>;
 }
 
-/** Adds a daemon's command to a command line. */
 export function addDaemonCommand<Schema extends z.ZodType<CommonSettings>>(
   cli: CAC,
   daemon: DaemonCommand<Schema>,
@@ -35,7 +34,7 @@
   return cli
     .command(daemon.name, daemon.description)
     .option('--config <file>', 'Settings file (YAML)')
-    .option('--set <path=value>', 'Overrides one setting; may be given several times')
+    .option('--set <path=value>', 'Override one setting; may be repeated')
     .action((flags: DaemonFlags) =>
       runAction(async () => {
         const settings = loadSettings(daemon.schema, requireConfig(flags), readOverrides(flags));
@@ -49,7 +48,7 @@
     );
 }
 
-/** A mistake on the command line. */
+/** Invalid usage of the command line. */
 export class UsageError extends LedgegaugeError {
   constructor(message: string) {
     super(message, { step: 'cli.usage' });
@@ -57,7 +56,7 @@
 }
 
 function requireConfig(flags: DaemonFlags): string {
-  if (typeof flags.config !== 'string') throw new UsageError('--config FILE is needed');
+  if (typeof flags.config !== 'string') throw new UsageError('--config FILE is required');
   return flags.config;
 }
 
--- a/src/cli/explain-command.ts
+++ b/src/cli/explain-command.ts
@@ -1,4 +1,4 @@
-/** `explain`: what became of a call or program, by the decision logs of the processes. */
+/** `explain`: shows what happened to a call or program, from the decision logs of the processes. */
 import type { CAC } from 'cac';
 import { type Explanation, type LogRecord, type RestoredTurns, explain } from '../explain/index.js';
 import { UsageError } from './daemon-command.js';
@@ -7,31 +7,40 @@
 
 export function addExplainCommand(cli: CAC): void {
   cli
-    .command('explain <id> [...files]', 'Tell from log files what became of a call or program')
+    .command('explain <id> [...files]', 'Show from log files what happened to a call or program')
     .option('--json', 'Print one JSON object')
     .action((id: string, files: string[], flags: { json?: boolean }) =>
       runAction(() => {
         if (files.length === 0) throw new UsageError('name at least one log file');
         const explanation = explain(String(id), files.flatMap(readLogRecords));
-        const text = flags.json ? JSON.stringify(explanation) : describe(String(id), explanation);
+        const text = flags.json
+          ? JSON.stringify(explanation)
+          : formatExplanation(String(id), explanation);
         process.stdout.write(`${text}\n`);
       }),
     );
 }
 
-function describe(id: string, { direct, surrounding, restoredTurns }: Explanation): string {
+function formatExplanation(
+  id: string,
+  { direct, surrounding, restoredTurns }: Explanation,
+): string {
   if (direct.length === 0) return `no line names ${id}`;
-  const parts = [`lines that name ${id}:`, ...direct.map(describeRecord)];
+  const parts = [`lines that name ${id}:`, ...direct.map(formatRecord)];
   if (surrounding.length > 0) {
-    parts.push('', 'what changed around them:', ...surrounding.map(describeRecord));
+    parts.push('', 'what changed around them:', ...surrounding.map(formatRecord));
   }
   if (restoredTurns.length > 0) {
-    parts.push('', 'what members held of the kept turns:', ...restoredTurns.map(describeRestored));
+    parts.push(
+      '',
+      'what members held of the kept turns:',
+      ...restoredTurns.map(formatRestoredTurns),
+    );
   }
   return parts.join('\n');
 }
 
-function describeRestored(restored: RestoredTurns): string {
+function formatRestoredTurns(restored: RestoredTurns): string {
   const { node, at, startedAt, named, missing, storedValues } = restored;
   const held = missing === 0 ? `held all ${named}` : `lacked ${missing} of ${named}`;
   const since = startedAt === undefined ? '' : ` since its start at ${startedAt}`;
@@ -39,7 +48,7 @@
   return `  ${at}  ${node.padEnd(20)}  ${held} kept turns${since}${store}`;
 }
 
-function describeRecord({ time, node, event, fields }: LogRecord): string {
+function formatRecord({ time, node, event, fields }: LogRecord): string {
   const details = Object.entries(fields).map(([name, value]) => `${name}=${String(value)}`);
   return `  ${time}  ${node.padEnd(20)}  ${event}  ${details.join(' ')}`;
 }
--- a/src/cli/operator-client.ts
+++ b/src/cli/operator-client.ts
@@ -1,18 +1,18 @@
-/** The operators' commands talk to the control API through this. */
+/** HTTP client of the operator commands for the control API. */
 import { randomUUID } from 'node:crypto';
 import { request } from 'undici';
 import { LedgegaugeError } from '../common/index.js';
 
-/** The control API answered with a problem, or could not be reached. */
+/** The control API returned a problem or could not be reached. */
 export class OperatorRequestError extends LedgegaugeError {}
 
 export interface OperatorClientOptions {
-  /** Operator addresses of control processes, tried one after the other. */
+  /** Operator addresses of control processes, tried in turn. */
   addresses: string[];
   key: string;
 }
 
-const MAX_TRIES = 6;
+const MAX_ATTEMPTS = 6;
 const TIMEOUT_MS = 8_000;
 
 export class OperatorClient {
@@ -22,7 +22,7 @@
     return this.send<Answer>('GET', path, undefined, undefined);
   }
 
-  /** Posts with an idempotency key, so that a lost answer can be asked for again. */
+  /** Posts with an idempotency key, so that the request can be repeated if its response is lost. */
   post<Answer>(
     path: string,
     body: unknown,
@@ -37,23 +37,23 @@
     body: unknown,
     idempotencyKey: string | undefined,
   ): Promise<Answer> {
-    let lastProblem = '';
-    for (let attempt = 0; attempt < MAX_TRIES; attempt += 1) {
+    let lastError = '';
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       const address = this.options.addresses[attempt % this.options.addresses.length]!;
       try {
-        const answer = await this.trySend(address, method, path, body, idempotencyKey);
+        const answer = await this.sendOnce(address, method, path, body, idempotencyKey);
         if (answer.status < 300) return answer.body as Answer;
         const problem = answer.body as { detail?: string; send_again?: boolean };
-        lastProblem = problem.detail ?? `status ${answer.status}`;
+        lastError = problem.detail ?? `status ${answer.status}`;
         if (!problem.send_again) break;
       } catch (error) {
-        lastProblem = error instanceof Error ? error.message : String(error);
+        lastError = error instanceof Error ? error.message : String(error);
       }
     }
-    throw new OperatorRequestError(lastProblem, { step: `${method} ${path}` });
+    throw new OperatorRequestError(lastError, { step: `${method} ${path}` });
   }
 
-  private async trySend(
+  private async sendOnce(
     address: string,
     method: 'GET' | 'POST',
     path: string,
--- a/src/cli/operator-commands.ts
+++ b/src/cli/operator-commands.ts
@@ -1,4 +1,4 @@
-/** `plan`, `confirm`, `status`, `history` and `document`: what operators type. */
+/** Operator commands: `plan`, `confirm`, `status`, `history` and `document`. */
 import { readFileSync } from 'node:fs';
 import type { CAC } from 'cac';
 import { parse, stringify } from 'yaml';
@@ -45,7 +45,7 @@
       )
       .option('--key <key>', `Operator key (or $${KEY_VARIABLE})`)
       .option('--json', 'Print JSON')
-      .option('--request-id <id>', 'confirm: repeat an earlier request after a lost answer')
+      .option('--request-id <id>', 'confirm: repeat an earlier request whose response was lost')
       .option('--limit <count>', 'history: how many revisions to show')
       .action((...parameters: unknown[]) => {
         const flags = parameters.at(-1) as OperatorFlags;
@@ -54,7 +54,7 @@
       });
   };
   add('plan <file>', 'Show what an intent file would change; prints the plan id', showPlan);
-  add('confirm <plan>', 'Put a plan into force', confirmPlan);
+  add('confirm <plan>', 'Apply a plan', confirmPlan);
   add('status', 'Show revisions, gateways and groups', showStatus);
   add('history', 'Show the latest revisions', showHistory);
   add('document', 'Print the current intents', showDocument);
@@ -63,8 +63,8 @@
 function createClient(flags: OperatorFlags): OperatorClient {
   const control = flags.control ?? process.env[CONTROL_VARIABLE];
   const key = flags.key ?? process.env[KEY_VARIABLE];
-  if (!control) throw new UsageError(`--control or $${CONTROL_VARIABLE} is needed`);
-  if (!key) throw new UsageError(`--key or $${KEY_VARIABLE} is needed`);
+  if (!control) throw new UsageError(`--control or $${CONTROL_VARIABLE} is required`);
+  if (!key) throw new UsageError(`--key or $${KEY_VARIABLE} is required`);
   return new OperatorClient({ addresses: control.split(','), key });
 }
 
@@ -77,7 +77,7 @@
   ]);
 }
 
-/** A whole document, or with `set` or `remove` only what shall differ. */
+/** Reads a complete document, or with `set` or `remove` a partial one. */
 function readDeclaration(file: string): IntentDocument | PartialDocument {
   const raw = readYaml(file);
   if (isPartialDeclaration(raw)) return checkSettings(partialDocumentSchema, raw, file);
@@ -126,7 +126,7 @@
   print(flags, revisions, lines);
 }
 
-/** Prints YAML that can be edited and planned. */
+/** Prints the document as YAML that can be edited and passed to `plan`. */
 async function showDocument(client: OperatorClient, flags: OperatorFlags): Promise<void> {
   const answer = await client.get<DocumentResponse>('/v1/document');
   const { revision, contentHash, document } = answer;
--- a/src/cli/run-command-line.ts
+++ b/src/cli/run-command-line.ts
@@ -4,7 +4,7 @@
 import { runAction } from './run-daemon.js';
 import { VERSION } from './version.js';
 
-/** Adds `--help` and `--version`; an unknown command shows the help and is wrong usage. */
+/** Adds `--help` and `--version`; an unknown command prints the help and exits with EXIT_USAGE. */
 export async function runCommandLine(cli: CAC): Promise<void> {
   cli.help();
   cli.version(VERSION);
--- a/src/cli/run-daemon.ts
+++ b/src/cli/run-daemon.ts
@@ -1,25 +1,24 @@
-/** Runs a daemon: start, a line on standard output when it serves, clean stop on a signal. */
+/** Runs a daemon: starts it, prints a line when it is ready, and stops it cleanly on a signal. */
 import { LedgegaugeError, describeError } from '../common/index.js';
 import { DamagedLogError, StorageFailedError, StorageFullError } from '../log-store/index.js';
 import { type LogLevel, type Logger, createLogger, setLogLevel } from '../observability/index.js';
 import { SettingsError } from '../settings/index.js';
 import { EXIT_FAILURE, EXIT_INTERRUPTED, EXIT_OK, EXIT_STORAGE, EXIT_USAGE } from './exit-codes.js';
 
-/** What a daemon must offer to be run. */
 export interface Daemon {
-  /** Finishes the work under way and closes everything. */
+  /** Finishes the work in progress and closes everything. */
   stop(): Promise<void>;
 }
 
 export interface DaemonOptions {
-  /** Kind and name, for logs. */
+  /** Kind and name of the process, for logs. */
   kind: string;
   name: string;
   logLevel: LogLevel;
   start: (logger: Logger, onFatal: (error: unknown) => void) => Promise<Daemon>;
 }
 
-/** Starts the daemon and stays until a signal ends the process. */
+/** Starts the daemon; resolves once it is ready. */
 export async function runDaemon(options: DaemonOptions): Promise<void> {
   setLogLevel(options.logLevel);
   const logger = createLogger({ process: options.kind, name: options.name });
@@ -43,7 +42,7 @@
   process.stdout.write(`${JSON.stringify({ ready: true, process: options.kind })}\n`);
 }
 
-/** Runs a command line's action; prints errors for people and sets the exit code. */
+/** Runs the action of a command; prints errors on standard error and sets the exit code. */
 export async function runAction(action: () => Promise<void> | void): Promise<void> {
   try {
     await action();
--- a/src/cli/version.ts
+++ b/src/cli/version.ts
@@ -1,2 +1,2 @@
-/** The version that `--version` shows; kept equal to package.json by a test. */
+/** Version printed by `--version`; a test keeps it equal to package.json. */
 export const VERSION = '0.1.0';
