--- a/src/client/errors.ts
+++ b/src/client/errors.ts
@@ -1,7 +1,7 @@
 import { LedgegaugeError } from '../common/index.js';
 import type { Problem } from '../http/index.js';
 
-/** The system gave a final answer other than a completed call. */
+/** The call ended with a final result other than completion. */
 export class CallFailedError extends LedgegaugeError {
   constructor(
     readonly problem: Problem,
@@ -11,5 +11,5 @@
   }
 }
 
-/** No gateway gave a final answer within the patience of the caller: the outcome is open. */
+/** No gateway returned a final result before the caller's timeout; the outcome is open. */
 export class CallPendingError extends LedgegaugeError {}
--- a/src/client/program-client.ts
+++ b/src/client/program-client.ts
@@ -1,7 +1,7 @@
 /**
- * A caller's library: opens programs and issues their calls, and sends again exactly where that is
- * right. A broken connection is followed by the same submission to another gateway; `not_run` by a
- * new submission when the answer says that this may help; `unknown` by nothing.
+ * Client library: opens programs, issues their calls and retries where that is safe. After a broken
+ * connection the same submission is sent to another gateway; after `not_run` a new submission is sent if
+ * the response allows it; after `unknown` nothing is resent.
  */
 import { randomUUID } from 'node:crypto';
 import { type ChatMessage, monotonicMs, sleep } from '../common/index.js';
@@ -13,13 +13,13 @@
   /** `host:port` of gateways; the first is preferred. */
   gateways: string[];
   apiKey: string;
-  /** How long to go on until a call has a final answer, in milliseconds. @default 60000 */
+  /** How long to retry until a call has a final result, in milliseconds. @default 60000 */
   patienceMs?: number;
-  /** Longest silence on a connection, in milliseconds. @default 10000 */
+  /** Maximum time without data on a connection, in milliseconds. @default 10000 */
   silenceMs?: number;
-  /** Longest time to make a connection, in milliseconds. @default 500 */
+  /** Maximum time to establish a connection, in milliseconds. @default 500 */
   connectTimeoutMs?: number;
-  /** Told of every single exchange, for those who keep a record. */
+  /** Called after each exchange with a gateway. */
   onExchange?: (record: ExchangeRecord) => void;
 }
 
@@ -44,7 +44,7 @@
 export interface CallAnswer extends GatewayAnswer {
   /** From the call's first submission to its first token, in milliseconds. */
   firstTokenMs?: number;
-  /** How many exchanges it took. */
+  /** Number of exchanges that the call took. */
   exchanges: number;
 }
 
@@ -52,15 +52,15 @@
   name: string;
   operation: string;
   payload: string;
-  /** Whether running it twice does no harm. */
+  /** Whether the request may safely run more than once. */
   repeatable: boolean;
 }
 
 const DEFAULT_PATIENCE_MS = 60_000;
 const DEFAULT_SILENCE_MS = 10_000;
 const DEFAULT_CONNECT_TIMEOUT_MS = 500;
-const BROKEN_RETRY_MS = 30;
-const MAXIMUM_BROKEN_RETRY_MS = 300;
+const INITIAL_RETRY_DELAY_MS = 30;
+const MAX_RETRY_DELAY_MS = 300;
 
 interface Submission {
   step: string;
@@ -99,14 +99,14 @@
     const headers = { 'idempotency-key': randomUUID() };
     const path = '/v1/programs';
     const document = await this.submit({ step: 'open', method: 'POST', path, headers, body });
-    if (document.kind !== 'document') throw unexpected('open');
+    if (document.kind !== 'document') throw unexpectedResponse('open');
     return new Program(this, String((document.body as { id: unknown }).id));
   }
 
   /**
-   * Sends until there is a final answer.
-   * @throws CallFailedError for a final answer other than success
-   * @throws CallPendingError when patience ran out first
+   * Sends a submission until there is a final result.
+   * @throws CallFailedError for a final result other than success
+   * @throws CallPendingError when the time runs out first
    */
   async submit(
     submission: Submission,
@@ -114,12 +114,12 @@
     const deadline = monotonicMs() + (this.options.patienceMs ?? DEFAULT_PATIENCE_MS);
     let number = 1;
     let isResend = false;
-    let brokenInARow = 0;
+    let consecutiveFailures = 0;
     for (let exchanges = 1; ; exchanges += 1) {
       const result = await this.exchangeOnce(submission, number, isResend);
       if (result.kind === 'document' || result.kind === 'answer') return { ...result, exchanges };
       isResend = true;
-      let pauseMs: number;
+      let delayMs: number;
       if (result.kind === 'problem') {
         const { problem } = result;
         if (!problem.sendAgain) throw new CallFailedError(problem, submission.step);
@@ -128,17 +128,17 @@
           isResend = false;
         }
         if (isGatewayProblem(problem)) this.preferNext();
-        pauseMs = problem.retryAfterMs ?? BROKEN_RETRY_MS;
-        brokenInARow = 0;
+        delayMs = problem.retryAfterMs ?? INITIAL_RETRY_DELAY_MS;
+        consecutiveFailures = 0;
       } else {
         this.preferNext();
-        pauseMs = Math.min(MAXIMUM_BROKEN_RETRY_MS, BROKEN_RETRY_MS * 2 ** brokenInARow);
-        brokenInARow += 1;
+        delayMs = Math.min(MAX_RETRY_DELAY_MS, INITIAL_RETRY_DELAY_MS * 2 ** consecutiveFailures);
+        consecutiveFailures += 1;
       }
-      if (monotonicMs() + pauseMs >= deadline) {
-        throw new CallPendingError('no final answer in time', { step: submission.step });
+      if (monotonicMs() + delayMs >= deadline) {
+        throw new CallPendingError('no final result before the timeout', { step: submission.step });
       }
-      await sleep(pauseMs);
+      await sleep(delayMs);
     }
   }
 
@@ -209,11 +209,11 @@
     return { ...readCompletion(result.body), exchanges: result.exchanges };
   }
 
-  /** Issues the next call to a small service. */
+  /** Issues the next call to a service. */
   async callService(request: ServiceRequest): Promise<CallAnswer> {
     const { repeatable, ...service } = request;
     const result = await this.issue('service', { service, repeatable });
-    if (result.kind !== 'document') throw unexpected('service');
+    if (result.kind !== 'document') throw unexpectedResponse('service');
     return { ...readCompletion(result.body), exchanges: result.exchanges };
   }
 
@@ -226,7 +226,7 @@
   async fetch(sequence: number): Promise<GatewayAnswer> {
     const path = `/v1/programs/${this.id}/calls/${sequence}`;
     const result = await this.client.submit({ step: 'fetch', method: 'GET', path, headers: {} });
-    if (result.kind !== 'document') throw unexpected('fetch');
+    if (result.kind !== 'document') throw unexpectedResponse('fetch');
     return readCompletion(result.body);
   }
 
@@ -241,7 +241,7 @@
       this.nextSequence += 1;
       return result;
     } catch (error) {
-      // A call whose outcome is unknown is settled: the next one has the next number.
+      // A call with an unknown outcome is settled, so the next call uses the next sequence number.
       const isSettled = error instanceof CallFailedError && error.problem.outcome !== 'not_run';
       if (isSettled) this.nextSequence += 1;
       throw error;
@@ -249,11 +249,11 @@
   }
 }
 
-/** Problems of one gateway that another one may not have. */
+/** Whether the problem concerns one gateway, so that another one should be tried. */
 function isGatewayProblem(problem: Problem): boolean {
   return ['no_lease', 'outcome_pending', 'internal_error'].includes(problem.code);
 }
 
-function unexpected(step: string): CallPendingError {
-  return new CallPendingError('the gateway answered in an unexpected form', { step });
+function unexpectedResponse(step: string): CallPendingError {
+  return new CallPendingError('the gateway returned a response of an unexpected type', { step });
 }
--- a/src/client/transport.ts
+++ b/src/client/transport.ts
@@ -1,4 +1,4 @@
-/** One HTTP exchange with one gateway, as a plain answer, a problem, or a broken connection. */
+/** One HTTP exchange with one gateway, which results in an answer, a problem or a broken connection. */
 import { Agent, request } from 'undici';
 import type { Problem } from '../http/index.js';
 import { EventParser } from '../http/index.js';
@@ -14,7 +14,7 @@
   | { kind: 'answer'; answer: GatewayAnswer; firstTokenMs: number | undefined }
   | { kind: 'document'; body: unknown }
   | { kind: 'problem'; problem: Problem }
-  /** The connection broke; the request may have arrived. */
+  /** The connection broke; the gateway may have received the request. */
   | { kind: 'broken'; reason: string };
 
 export interface ExchangeRequest {
@@ -23,7 +23,7 @@
   path: string;
   headers: Record<string, string>;
   body?: unknown;
-  /** Longest silence before the connection counts as broken, in milliseconds. */
+  /** Maximum time without data before the connection counts as broken, in milliseconds. */
   silenceMs: number;
 }
 
@@ -37,7 +37,7 @@
   ledgegauge?: { cost: number };
 }
 
-interface StreamPiece extends Omit<CompletionDocument, 'choices'> {
+interface StreamChunk extends Omit<CompletionDocument, 'choices'> {
   choices: { delta: { content?: string }; finish_reason: string | null }[];
 }
 
@@ -77,7 +77,7 @@
   }
 }
 
-/** Reads a chat completion document. */
+/** Parses a chat completion document. */
 export function readCompletion(body: unknown): GatewayAnswer {
   const document = body as CompletionDocument;
   const choice = document.choices?.[0];
@@ -93,7 +93,7 @@
   const parser = new EventParser();
   let content = '';
   let firstTokenMs: number | undefined;
-  let last: StreamPiece | undefined;
+  let last: StreamChunk | undefined;
   for await (const text of texts) {
     for (const event of parser.push(text)) {
       if (event.event === 'problem') {
@@ -104,7 +104,7 @@
         continue;
       }
       if (event.data === '[DONE]') return endOfStream(content, last, firstTokenMs);
-      last = JSON.parse(event.data) as StreamPiece;
+      last = JSON.parse(event.data) as StreamChunk;
       content += last.choices[0]?.delta.content ?? '';
       if (content.length > 0) firstTokenMs ??= performance.now() - startedAt;
     }
@@ -114,7 +114,7 @@
 
 function endOfStream(
   content: string,
-  last: StreamPiece | undefined,
+  last: StreamChunk | undefined,
   firstTokenMs: number | undefined,
 ): Exchange {
   const answer: GatewayAnswer = {
