--- a/src/common/backoff.ts
+++ b/src/common/backoff.ts
@@ -1,15 +1,15 @@
-/** Exponential backoff with full jitter. */
+/** Exponential backoff with jitter. */
 export interface BackoffOptions {
-  /** Upper bound of the first wait, in milliseconds. @default 50 */
+  /** Upper bound of the first delay, in milliseconds. @default 50 */
   initialMs?: number;
-  /** Upper bound of any wait, in milliseconds. @default 1000 */
+  /** Upper bound of any delay, in milliseconds. @default 1000 */
   maximumMs?: number;
 }
 
 const DEFAULT_INITIAL_MS = 50;
 const DEFAULT_MAXIMUM_MS = 1_000;
 
-/** Counts failures in a row and yields the wait before the next try. */
+/** Counts consecutive failures and returns the delay before the next attempt. */
 export class Backoff {
   private failures = 0;
   private readonly initialMs: number;
@@ -20,14 +20,14 @@
     this.maximumMs = options.maximumMs ?? DEFAULT_MAXIMUM_MS;
   }
 
-  /** The wait before the next try, in milliseconds: between half the bound and the bound. */
+  /** Returns a random delay between half the current bound and the bound. */
   nextDelayMs(): number {
     const bound = Math.min(this.maximumMs, this.initialMs * 2 ** this.failures);
     this.failures += 1;
     return bound * (0.5 + Math.random() / 2);
   }
 
-  /** Call after a success. */
+  /** Must be called after a success. */
   reset(): void {
     this.failures = 0;
   }
--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -1,9 +1,9 @@
 /**
- * Clocks. Every lease and time-out uses the monotonic clock; wall-clock time is only shown to
- * people or stamped on records, never compared between machines.
+ * Clocks. Leases and timeouts use the monotonic clock; wall-clock time is only displayed or stored in
+ * records, and never compared between machines.
  */
 
-/** Milliseconds on a clock that never goes back and has no relation to other machines. */
+/** Milliseconds on a clock that never goes backwards and is not comparable between machines. */
 export function monotonicMs(): number {
   return performance.now();
 }
--- a/src/common/deferred.ts
+++ b/src/common/deferred.ts
@@ -1,4 +1,4 @@
-/** A promise that is settled from outside. */
+/** A promise with public `resolve` and `reject`. */
 export class Deferred<T> {
   readonly promise: Promise<T>;
   resolve!: (value: T) => void;
@@ -9,7 +9,7 @@
       this.resolve = resolve;
       this.reject = reject;
     });
-    // A rejection that nobody awaits yet must not end the process.
+    // A rejection while nothing awaits the promise yet must not terminate the process.
     this.promise.catch(() => undefined);
   }
 }
--- a/src/common/errors.ts
+++ b/src/common/errors.ts
@@ -1,20 +1,20 @@
 /**
- * The error hierarchy's root. Every error names the step and the peer at which it arose, and
- * whether trying again may help.
+ * Root of the error hierarchy. Every error names the step and the peer at which it occurred, and
+ * whether a retry may help.
  */
 
-/** Where an error arose and what may be done about it. */
+/** Where an error occurred and whether a retry may help. */
 export interface ErrorContext {
-  /** The step that was under way, for example `journal.begin`. */
+  /** The step in progress, for example `journal.begin`. */
   step: string;
-  /** The process, address or file the step dealt with. */
+  /** The process, address or file that the step accessed. */
   peer?: string;
-  /** Whether the same step may succeed when tried again. @default false */
+  /** Whether a retry of the step may succeed. @default false */
   retriable?: boolean;
   cause?: unknown;
 }
 
-/** Base class of all errors that this project raises itself. */
+/** Base class of the errors raised by this project. */
 export class LedgegaugeError extends Error {
   readonly step: string;
   readonly peer: string | undefined;
@@ -35,7 +35,7 @@
   }
 }
 
-/** A wait ran out before its condition came true. */
+/** A wait timed out before its condition was met. */
 export class TimeoutError extends LedgegaugeError {}
 
 /** Describes any thrown value in one line. */
--- a/src/common/index.ts
+++ b/src/common/index.ts
@@ -1,4 +1,4 @@
-/** Small parts that every slice uses. */
+/** Utilities shared by all modules. */
 export * from './backoff.js';
 export * from './clock.js';
 export * from './deferred.js';
--- a/src/common/lru-map.ts
+++ b/src/common/lru-map.ts
@@ -1,9 +1,9 @@
-/** Maps that keep what was used last. */
+/** Maps that evict the least recently used entries. */
 import { LRUCache } from 'lru-cache';
 
 /**
- * A map of at most so many entries that takes memory as it fills: with `max`, `LRUCache` allocates
- * every place at once, which costs a start several milliseconds for large maps that stay small.
+ * Creates an LRU map that allocates memory as it grows. With `max`, `LRUCache` would allocate all entries
+ * at once, which slows down the start for large limits.
  */
 export function createLruMap<Key extends object | string, Value extends object | number>(
   maxEntries: number,
--- a/src/common/random.ts
+++ b/src/common/random.ts
@@ -1,4 +1,4 @@
-/** Seeded random numbers (pure-rand's xoroshiro128+) with the distributions that are used here. */
+/** Seeded random numbers (pure-rand's xoroshiro128+) and distributions. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -38,7 +38,7 @@
     return minimum * (1 - this.uniform()) ** (-1 / exponent);
   }
 
-  /** A generator of its own for another purpose, so that one does not disturb the other. */
+  /** Creates an independent generator, so that drawing from one does not affect the other. */
   fork(): SeededRandom {
     return new SeededRandom(this.integer(-0x80000000, 0x7fffffff));
   }
--- a/src/common/rendezvous.ts
+++ b/src/common/rendezvous.ts
@@ -1,7 +1,7 @@
-/** Rendezvous hashing: every key ranks the same items in an order of its own. */
+/** Rendezvous hashing: ranks items in an order that depends on a key. */
 import { hash32 } from './hashing.js';
 
-/** Items by their weight for a key, the highest first; few change place when items come and go. */
+/** Sorts items by their weight for a key, highest first; adding or removing one keeps the order of the others. */
 export function rankForKey<Item>(
   key: string,
   items: readonly Item[],
--- a/src/common/signal-event.ts
+++ b/src/common/signal-event.ts
@@ -1,26 +1,26 @@
 import { Deferred } from './deferred.js';
 
-/** An event on which tasks wait; each `notify` wakes all that wait at that moment. */
+/** An event that tasks wait for; each `notify` wakes all current waiters. */
 export class SignalEvent {
-  private waiting = new Deferred<void>();
+  private pending = new Deferred<void>();
 
   notify(): void {
-    const waiting = this.waiting;
-    this.waiting = new Deferred<void>();
-    waiting.resolve();
+    const pending = this.pending;
+    this.pending = new Deferred<void>();
+    pending.resolve();
   }
 
   /** Resolves at the next `notify`. */
   wait(): Promise<void> {
-    return this.waiting.promise;
+    return this.pending.promise;
   }
 
   /** Resolves at the next `notify` or after `timeoutMs`, whichever comes first. */
   async waitWithTimeout(timeoutMs: number): Promise<void> {
-    const { waiting } = this;
+    const { pending } = this;
     await new Promise<void>((resolve) => {
       const timer = setTimeout(resolve, timeoutMs);
-      void waiting.promise.then(() => {
+      void pending.promise.then(() => {
         clearTimeout(timer);
         resolve();
       });
--- a/src/common/tokens.ts
+++ b/src/common/tokens.ts
@@ -1,9 +1,9 @@
 /**
- * Token counts. Engines count with their own tokenizers; this project needs only an estimate for
- * costs and routing, and passes the cost ceiling along so that an engine refuses what exceeds it.
+ * Token counts. Engines use their own tokenizers; this project only estimates counts for costs and
+ * routing, and sends the cost ceiling with a call so that the engine rejects a call that exceeds it.
  */
 
-/** Assumed characters in a token (common rule of thumb for English text, not measured here). */
+/** Rule of thumb for English text. */
 export const CHARACTERS_PER_TOKEN = 4;
 
 export function countTokens(text: string): number {
@@ -21,7 +21,7 @@
   return `<${message.role}>${message.content}\n`;
 }
 
-/** Tokens that messages add to a prompt; each message is counted alone. */
+/** Tokens that messages add to a prompt; each message is rounded up separately. */
 export function countMessageTokens(messages: readonly ChatMessage[]): number {
   return messages.reduce((sum, message) => sum + countTokens(renderMessage(message)), 0);
 }
