--- a/src/log-store/data-folder.ts
+++ b/src/log-store/data-folder.ts
@@ -29,24 +29,25 @@
  * folder whose own name is lost are lost with it.
  */
 export async function makeFolder(path: string): Promise<void> {
-  const firstMade = await mkdir(path, { recursive: true });
-  if (firstMade === undefined) return syncUnusedFolder(path);
-  const stop = dirname(firstMade);
-  for (let made = path; made !== stop; made = dirname(made)) await syncFolder(dirname(made));
+  const firstCreated = await mkdir(path, { recursive: true });
+  if (firstCreated === undefined) return syncParentsOfEmptyFolder(path);
+  const stop = dirname(firstCreated);
+  for (let created = path; created !== stop; created = dirname(created))
+    await syncFolder(dirname(created));
 }
 
 /**
  * A process that was killed may have made an empty folder, with some above it that hold nothing else, and not
  * synced their names.
  */
-async function syncUnusedFolder(path: string): Promise<void> {
+async function syncParentsOfEmptyFolder(path: string): Promise<void> {
   let folder = path;
-  let mostNames = 0;
+  let maxNames = 0;
   try {
-    while (folder !== dirname(folder) && (await readdir(folder)).length <= mostNames) {
+    while (folder !== dirname(folder) && (await readdir(folder)).length <= maxNames) {
       folder = dirname(folder);
       await syncFolder(folder);
-      mostNames = 1;
+      maxNames = 1;
     }
   } catch (error) {
     // What this process may not read was made by another, which has synced it or answers for it.
@@ -134,7 +135,7 @@
 }
 
 /** Share of the quota that new entries may fill; the rest is kept for votes and snapshots. */
-const REFUSABLE_SHARE = 0.9;
+const ENTRY_QUOTA_FRACTION = 0.9;
 
 /** Counts bytes against a quota, so that a full disk refuses new work before anything is written. */
 export class StorageQuota {
@@ -150,7 +151,7 @@
    */
   reserve(bytes: number, isRefusable: boolean, peer: string): void {
     if (this.limitBytes !== undefined) {
-      const limit = isRefusable ? this.limitBytes * REFUSABLE_SHARE : this.limitBytes;
+      const limit = isRefusable ? this.limitBytes * ENTRY_QUOTA_FRACTION : this.limitBytes;
       if (this.used + bytes > limit) {
         const context = { step: 'log-store.append', peer, retriable: true };
         throw new StorageFullError('data folder is full', context);
--- a/src/log-store/group-log-state.ts
+++ b/src/log-store/group-log-state.ts
@@ -56,7 +56,7 @@
         this.hardState = record.state;
         break;
       case 'truncate':
-        this.cutFrom(record.fromIndex);
+        this.truncateFrom(record.fromIndex);
         break;
       case 'snapshot':
         this.compact(record.mark);
@@ -69,7 +69,7 @@
   private append(entries: LogEntry[]): void {
     for (const entry of entries) {
       if (entry.index <= this.snapshot.index) continue;
-      this.cutFrom(entry.index);
+      this.truncateFrom(entry.index);
       this.entries.push(entry);
       this.heldBytes += entry.data.length;
     }
@@ -79,10 +79,10 @@
    * At a start, segments that a later snapshot covers are gone: the first entry that is found may
    * lie far behind the snapshot known so far. It keeps its place, and what is missing stays empty.
    */
-  private cutFrom(index: number): void {
-    const kept = Math.max(0, index - this.snapshot.index - 1);
-    if (kept < this.entries.length) this.heldBytes -= bytesOf(this.entries.slice(kept));
-    this.entries.length = kept;
+  private truncateFrom(index: number): void {
+    const keptCount = Math.max(0, index - this.snapshot.index - 1);
+    if (keptCount < this.entries.length) this.heldBytes -= bytesOf(this.entries.slice(keptCount));
+    this.entries.length = keptCount;
   }
 
   /**
--- a/src/log-store/queued-records.test.ts
+++ b/src/log-store/queued-records.test.ts
@@ -77,7 +77,7 @@
   it('give the state that they gave in memory, in drawn orders', async () => {
     const failures: string[] = [];
     for (const seed of fuzzSeeds([], 300)) {
-      const failure = await playQueued(seed);
+      const failure = await runSchedule(seed);
       if (failure) failures.push(failure);
     }
     expect(failures.slice(0, 3)).toEqual([]);
@@ -110,14 +110,14 @@
 });
 
 /** @returns what went wrong; undefined when nothing did */
-async function playQueued(seed: number): Promise<string | undefined> {
+async function runSchedule(seed: number): Promise<string | undefined> {
   const disk = new SimulatedDisk('log', { seed });
   const random = spreadRandom(seed);
   let log = await openLog(disk);
   for (let round = 0; round < 4; round += 1) {
     const writes: Promise<void>[] = [];
     for (let count = random.integer(1, 8); count > 0; count -= 1) {
-      writes.push(log.append(drawRecords(log.group(GROUP), random)));
+      writes.push(log.append(randomRecords(log.group(GROUP), random)));
       if (random.chance(0.3)) await new Promise((resolve) => setImmediate(resolve));
     }
     await Promise.all(writes);
@@ -131,7 +131,7 @@
 }
 
 /** What a member writes at one moment: a vote, entries, a mark of its own, or of a leader's snapshot. */
-function drawRecords(state: GroupLogState, random: SeededRandom): LogRecord[] {
+function randomRecords(state: GroupLogState, random: SeededRandom): LogRecord[] {
   const { term } = state.hardState;
   const next = { term: term + 1, votedFor: undefined };
   const ownIndex = random.integer(state.snapshot.index, state.lastIndex);
--- a/src/log-store/write-ahead-log-power-loss.test.ts
+++ b/src/log-store/write-ahead-log-power-loss.test.ts
@@ -29,7 +29,7 @@
 const SEGMENT_BYTES = 250;
 /** What one process does, in steps, and the share of steps that are votes or replace entries. */
 const STEPS = 24;
-const RARE_SHARE = 0.1;
+const RARE_STEP_FRACTION = 0.1;
 
 /** How one process ends. */
 interface Ending {
@@ -127,7 +127,9 @@
   const steps = [appendEntry, appendEntry, appendEntry, appendEntry, appendEntry, compact, compact];
   const waiting: Promise<void>[] = [];
   for (let count = 0; count < STEPS; count += 1) {
-    const step = random.chance(RARE_SHARE) ? random.pick([vote, replaceLast]) : random.pick(steps);
+    const step = random.chance(RARE_STEP_FRACTION)
+      ? random.pick([vote, replaceLast])
+      : random.pick(steps);
     waiting.push(step());
     // What is not waited for goes to the disk together with what comes next.
     if (random.chance(0.6)) await Promise.all(waiting.splice(0));
@@ -161,7 +163,7 @@
     await log.close();
   };
   const ended = run().catch((error: unknown) => {
-    if (disk.isAlive || !isOfKill(error)) throw error;
+    if (disk.isAlive || !isKillError(error)) throw error;
   });
   await Promise.race([ended, killed.promise]);
   await ended;
@@ -169,13 +171,13 @@
   else disk.kill();
 }
 
-function isOfKill(error: unknown): boolean {
+function isKillError(error: unknown): boolean {
   const { cause } = error as Error;
   return error instanceof ProcessKilledError || cause instanceof ProcessKilledError;
 }
 
 /** @returns what went wrong; undefined when nothing did */
-async function play(
+async function runSchedule(
   seed: number,
   endings: readonly Ending[],
   nameDurability: NameDurability,
@@ -196,7 +198,7 @@
 
 /** About as many operations as a process has. */
 const OPERATIONS = 2 * STEPS + 20;
-const MOST_ENDINGS = 5;
+const MAX_ENDINGS = 5;
 const SCHEDULES = 300;
 
 function killThenPowerLoss(random: SeededRandom): Ending[] {
@@ -204,19 +206,19 @@
 }
 
 function severalEndings(random: SeededRandom): Ending[] {
-  return Array.from({ length: random.integer(1, MOST_ENDINGS) }, () => ({
+  return Array.from({ length: random.integer(1, MAX_ENDINGS) }, () => ({
     at: random.integer(1, OPERATIONS),
     losesPower: random.chance(0.5),
   }));
 }
 
-async function playAll(
-  draw: (random: SeededRandom) => Ending[],
+async function runSchedules(
+  randomEndings: (random: SeededRandom) => Ending[],
   nameDurability: NameDurability,
 ): Promise<string[]> {
   const failures: string[] = [];
   for (const seed of fuzzSeeds([], SCHEDULES)) {
-    const failure = await play(seed, draw(spreadRandom(seed)), nameDurability);
+    const failure = await runSchedule(seed, randomEndings(spreadRandom(seed)), nameDurability);
     if (failure) failures.push(failure);
   }
   return failures;
@@ -246,8 +248,8 @@
   const state = { term: TERM, votedFor: MEMBER };
   await log.append([{ kind: 'hard-state', group: GROUP, state }]);
   disk.killBefore = operation;
-  const goOnInSecond = appendEntry(log, SEGMENT_BYTES).then(() => appendEntry(log));
-  await expect(goOnInSecond).rejects.toThrow();
+  const continueInSecond = appendEntry(log, SEGMENT_BYTES).then(() => appendEntry(log));
+  await expect(continueInSecond).rejects.toThrow();
 }
 
 describe('a write-ahead log', () => {
@@ -298,14 +300,14 @@
 
 describe('the write-ahead log over drawn deaths and losses of power', () => {
   it('keeps what a start has found over a kill and then a loss of power', async () => {
-    expect(await playAll(killThenPowerLoss, 'file-sync')).toEqual([]);
+    expect(await runSchedules(killThenPowerLoss, 'file-sync')).toEqual([]);
   });
 
   it('keeps what a start has found over several of both', async () => {
-    expect(await playAll(severalEndings, 'file-sync')).toEqual([]);
+    expect(await runSchedules(severalEndings, 'file-sync')).toEqual([]);
   });
 
   it('does so where only the sync of a folder keeps the names of its new files', async () => {
-    expect(await playAll(severalEndings, 'folder-sync-only')).toEqual([]);
+    expect(await runSchedules(severalEndings, 'folder-sync-only')).toEqual([]);
   });
 });
--- a/src/log-store/write-ahead-log.ts
+++ b/src/log-store/write-ahead-log.ts
@@ -38,7 +38,7 @@
  * Pause between two tries on a full disk, in milliseconds: short beside an election time-out, so
  * that a member takes part again as soon as there is room.
  */
-const FULL_RETRY_MS = 100;
+const DISK_FULL_RETRY_MS = 100;
 
 export interface WriteAheadLogOptions {
   folder: string;
@@ -71,16 +71,16 @@
    * Whether it repeats term, vote and snapshot mark of every group, which may stand nowhere else once the
    * segments before it are gone.
    */
-  hasHead: boolean;
+  hasHeader: boolean;
 }
 
 /** What a segment's head repeats of a group, as far as it has been written. */
-interface WrittenHead {
+interface WrittenState {
   hardState: HardState;
   mark: SnapshotMark;
 }
 
-const NOTHING_WRITTEN: WrittenHead = {
+const NOTHING_WRITTEN: WrittenState = {
   hardState: { term: 0, votedFor: undefined },
   mark: { index: 0, term: 0 },
 };
@@ -91,7 +91,7 @@
    * By group. The states in memory are ahead by what is queued: a mark in front of the entries that it drops would
    * not drop them at a start, and a segment must not go for a mark that may never be written.
    */
-  private readonly written = new Map<string, WrittenHead>();
+  private readonly written = new Map<string, WrittenState>();
   private readonly queue: QueuedWrite[] = [];
   private readonly wake = new SignalEvent();
   private readonly quota: StorageQuota;
@@ -144,10 +144,10 @@
    * @throws StorageFullError (synchronously) when there is no room; nothing was applied then
    */
   append(appended: LogRecord[]): Promise<void> {
-    const records = appended.flatMap((record) => this.withTruncation(record));
+    const records = appended.flatMap((record) => this.withExplicitTruncation(record));
     const bodies = records.map(encodeLogRecord);
     const isRefusable = records.some((record) => record.kind === 'entries');
-    if (isRefusable && this.isDiskFull) throw this.fullError();
+    if (isRefusable && this.isDiskFull) throw this.diskFullError();
     this.quota.reserve(sizeOnDisk(bodies), isRefusable, this.options.folder);
     for (const record of records) this.applyToGroup(record);
     const done = new Deferred<void>();
@@ -177,7 +177,7 @@
    * A start may find the entries that a mark drops without the one at the mark's index, whose segment is gone: it could
    * not tell then that they contradict the mark.
    */
-  private withTruncation(record: LogRecord): LogRecord[] {
+  private withExplicitTruncation(record: LogRecord): LogRecord[] {
     if (record.kind !== 'snapshot') return [record];
     const { group, mark } = record;
     const state = this.group(group);
@@ -197,9 +197,9 @@
       }
       const batch = this.queue.splice(0);
       try {
-        const isWritten = await this.writeOnceThereIsRoom(batch);
+        const isWritten = await this.writeWithRetry(batch);
         if (!isWritten) return;
-        await this.tidySegments(batch);
+        await this.rotateSegments(batch);
         for (const write of batch) write.done.resolve();
       } catch (error) {
         for (const write of batch) write.done.reject(error);
@@ -210,28 +210,28 @@
   }
 
   /** @returns false when the log was closed first; the owners of the batch are told nothing */
-  private async writeOnceThereIsRoom(batch: QueuedWrite[]): Promise<boolean> {
+  private async writeWithRetry(batch: QueuedWrite[]): Promise<boolean> {
     for (;;) {
       try {
         await this.writeBatch(batch);
-        this.noteFull(false);
+        this.setDiskFull(false);
         return true;
       } catch (error) {
         if (!(error instanceof DiskFullError)) throw error;
-        this.noteFull(true);
+        this.setDiskFull(true);
         if (this.closing) return false;
-        await sleep(FULL_RETRY_MS);
+        await sleep(DISK_FULL_RETRY_MS);
       }
     }
   }
 
-  private noteFull(isFull: boolean): void {
+  private setDiskFull(isFull: boolean): void {
     if (isFull === this.isDiskFull) return;
     this.isDiskFull = isFull;
     this.options.onFullChange?.(isFull);
   }
 
-  private fullError(): DiskFullError {
+  private diskFullError(): DiskFullError {
     const context = { step: 'log-store.append', peer: this.options.folder, retriable: true };
     return new DiskFullError('disk is full', context);
   }
@@ -263,11 +263,11 @@
   private async writeBatch(batch: QueuedWrite[]): Promise<void> {
     const segment = this.currentSegment;
     const records = batch.flatMap((write) => write.records);
-    const head = segment.hasHead ? [] : this.headRecords().map(encodeLogRecord);
-    const bodies = [...head, ...batch.flatMap((write) => write.bodies)];
+    const header = segment.hasHeader ? [] : this.headerRecords().map(encodeLogRecord);
+    const bodies = [...header, ...batch.flatMap((write) => write.bodies)];
     const bytes = Buffer.concat(bodies.map((body) => encodeRecord(body, this.syncedOffset)));
     await appendAndSync(this.file, bytes, segment.bytes, this.options.folder);
-    segment.hasHead = true;
+    segment.hasHeader = true;
     segment.bytes += bytes.length;
     this.syncedOffset = segment.bytes;
     this.markerNeeded = true;
@@ -278,7 +278,7 @@
   }
 
   /** Removes segments that are covered and begins the next one; a full disk leaves it for later. */
-  private async tidySegments(batch: QueuedWrite[]): Promise<void> {
+  private async rotateSegments(batch: QueuedWrite[]): Promise<void> {
     const hasSnapshot = batch.some(({ records }) =>
       records.some((record) => record.kind === 'snapshot'),
     );
@@ -294,7 +294,7 @@
     }
   }
 
-  private headRecords(): LogRecord[] {
+  private headerRecords(): LogRecord[] {
     return [...this.written].flatMap(([group, { hardState, mark }]): LogRecord[] => [
       { kind: 'hard-state', group, state: hardState },
       { kind: 'snapshot', group, mark },
@@ -304,9 +304,10 @@
   private noteWritten(segment: Segment, record: LogRecord): void {
     if (record.kind === 'sync-marker') return;
     const { group } = record;
-    const head = this.written.get(group) ?? NOTHING_WRITTEN;
-    if (record.kind === 'hard-state') this.written.set(group, { ...head, hardState: record.state });
-    if (record.kind === 'snapshot') this.written.set(group, { ...head, mark: record.mark });
+    const previous = this.written.get(group) ?? NOTHING_WRITTEN;
+    if (record.kind === 'hard-state')
+      this.written.set(group, { ...previous, hardState: record.state });
+    if (record.kind === 'snapshot') this.written.set(group, { ...previous, mark: record.mark });
     if (record.kind === 'entries') noteHighestIndex(segment, record);
   }
 
@@ -324,7 +325,7 @@
     }
     const previous: LogFile | undefined = this.file;
     this.file = file;
-    this.segments.push({ number, bytes: 0, highestIndex: new Map(), hasHead: false });
+    this.segments.push({ number, bytes: 0, highestIndex: new Map(), hasHeader: false });
     this.syncedOffset = 0;
     await previous?.close();
   }
@@ -372,7 +373,7 @@
     const path = this.segmentPath(number);
     const bytes = await readFile(path);
     // A killed process may have left no head, or a part of one: the next batch writes it again.
-    const segment: Segment = { number, bytes: 0, highestIndex: new Map(), hasHead: false };
+    const segment: Segment = { number, bytes: 0, highestIndex: new Map(), hasHeader: false };
     while (segment.bytes < bytes.length) {
       const record = decodeRecord(bytes, segment.bytes);
       if (!record) break;
@@ -381,12 +382,17 @@
       this.noteWritten(segment, decoded);
       segment.bytes = record.end;
     }
-    if (segment.bytes < bytes.length) await this.cutTail(path, bytes, segment.bytes, isLast);
+    if (segment.bytes < bytes.length) await this.truncateTail(path, bytes, segment.bytes, isLast);
     this.quota.add(segment.bytes);
     this.segments.push(segment);
   }
 
-  private async cutTail(path: string, bytes: Buffer, end: number, isLast: boolean): Promise<void> {
+  private async truncateTail(
+    path: string,
+    bytes: Buffer,
+    end: number,
+    isLast: boolean,
+  ): Promise<void> {
     if (!isLast || hasSyncedDataAfter(bytes, end)) {
       throw new DamagedLogError(
         `damaged at byte ${end} before synced data; restore this member as a new one`,
