--- a/src/log-store/data-folder.ts
+++ b/src/log-store/data-folder.ts
@@ -1,9 +1,9 @@
-/** File operations of a data folder, with the syncs that make them last. */
+/** Durable file operations in a data folder. */
 import { type FileHandle, mkdir, open, readFile, readdir, rename, rm } from 'node:fs/promises';
 import { dirname, join } from 'node:path';
 import { DiskFullError, StorageFailedError, StorageFullError } from './errors.js';
 
-/** What a log needs of a file; a `FileHandle` has all of it. */
+/** File operations that the log uses; `FileHandle` implements them. */
 export interface LogFile {
   write(
     bytes: Uint8Array,
@@ -18,15 +18,15 @@
 
 export type OpenLogFile = (path: string, flags: 'r+' | 'w') => Promise<LogFile>;
 
-/** Error codes of a file that this process may not read. */
+/** Error codes for a file that this process has no permission to read. */
 const FORBIDDEN_CODES: ReadonlySet<string | undefined> = new Set(['EACCES', 'EPERM']);
 
-/** Error codes of a disk, or of a share of it, that takes no more bytes. */
+/** Error codes for a full disk or an exhausted disk quota. */
 const FULL_CODES: ReadonlySet<string | undefined> = new Set(['ENOSPC', 'EDQUOT']);
 
 /**
- * Makes a folder, with those above it that are missing, so that it lasts: files that are synced in a
- * folder whose own name is lost are lost with it.
+ * Creates a folder and its missing parents durably. Without a sync of the parent folder, a power
+ * loss could remove the folder together with synced files in it.
  */
 export async function makeFolder(path: string): Promise<void> {
   const firstCreated = await mkdir(path, { recursive: true });
@@ -36,10 +36,7 @@
     await syncFolder(dirname(created));
 }
 
-/**
- * A process that was killed may have made an empty folder, with some above it that hold nothing else, and not
- * synced their names.
- */
+/** Syncs the parents of an empty folder: a killed process may have created them without a sync. */
 async function syncParentsOfEmptyFolder(path: string): Promise<void> {
   let folder = path;
   let maxNames = 0;
@@ -50,12 +47,12 @@
       maxNames = 1;
     }
   } catch (error) {
-    // What this process may not read was made by another, which has synced it or answers for it.
+    // An unreadable parent was created by another user, who is responsible for syncing it.
     if (!FORBIDDEN_CODES.has((error as NodeJS.ErrnoException).code)) throw error;
   }
 }
 
-/** Syncs a folder, so that created and renamed entries last. */
+/** Syncs a folder, which makes created and renamed entries durable. */
 export async function syncFolder(path: string): Promise<void> {
   const folder = await open(path, 'r');
   try {
@@ -66,16 +63,16 @@
 }
 
 /**
- * Writes a whole file so that after a crash either the old or the new content is there.
- * @throws DiskFullError when the disk has no room; the old content stands then
+ * Replaces a file atomically: after a crash it has either the old or the new content.
+ * @throws DiskFullError if the disk is full; the old content is kept
  */
 export function replaceFile(folder: string, name: string, bytes: Uint8Array): Promise<void> {
   return replaceFileWith(folder, name, (file) => file.writeFile(bytes));
 }
 
 /**
- * The same for content that is written to the new file piece by piece.
- * @throws DiskFullError when the disk has no room; the old content stands then
+ * Replaces a file atomically with content that is written in pieces.
+ * @throws DiskFullError if the disk is full; the old content is kept
  */
 export async function replaceFileWith(
   folder: string,
@@ -86,7 +83,7 @@
   try {
     await writeAndSync(temporary, writeContent);
   } catch (cause) {
-    // Whatever was written of it takes room that others need; the error itself is reported.
+    // Frees the space of the partial file. Only the original error is reported.
     await rm(temporary, { force: true }).catch(() => undefined);
     throw storageError(cause, { step: 'data-folder.replace', peer: temporary });
   }
@@ -107,7 +104,7 @@
   }
 }
 
-/** Makes an empty file. @throws DiskFullError when the disk has no room for it */
+/** Creates an empty file. @throws DiskFullError if the disk is full */
 export async function createFile(path: string, openFile: OpenLogFile): Promise<LogFile> {
   try {
     return await openFile(path, 'w');
@@ -116,7 +113,9 @@
   }
 }
 
-/** Tells a full disk, which may have room again, from a failure that leaves the content unknown. */
+/**
+ * Distinguishes a full disk, which can be retried, from a failure that leaves the content unknown.
+ */
 export function storageError(cause: unknown, context: { step: string; peer: string }): Error {
   if (FULL_CODES.has((cause as NodeJS.ErrnoException).code)) {
     return new DiskFullError('disk is full', { ...context, retriable: true, cause });
@@ -124,7 +123,7 @@
   return new StorageFailedError('write failed', { ...context, cause });
 }
 
-/** Reads a file, or returns undefined when there is none. */
+/** Reads a file; returns undefined if it does not exist. */
 export async function readFileIfPresent(path: string): Promise<Buffer | undefined> {
   try {
     return await readFile(path);
@@ -134,33 +133,33 @@
   }
 }
 
-/** Share of the quota that new entries may fill; the rest is kept for votes and snapshots. */
+/** Fraction of the quota available to new entries; the rest is reserved for votes and snapshots. */
 const ENTRY_QUOTA_FRACTION = 0.9;
 
-/** Counts bytes against a quota, so that a full disk refuses new work before anything is written. */
+/** Counts bytes against a quota, so that new work is rejected before anything is written. */
 export class StorageQuota {
   private used = 0;
 
-  /** @param limitBytes no limit when undefined */
+  /** @param limitBytes undefined for no limit */
   constructor(private readonly limitBytes: number | undefined) {}
 
   /**
-   * Takes `bytes` from the quota.
-   * @param isRefusable whether the bytes are new work, which may not fill the last tenth
-   * @throws StorageFullError when they would not fit
+   * Reserves `bytes` of the quota.
+   * @param isRefusable whether the bytes are new work, which may not use the reserve
+   * @throws StorageFullError if the bytes exceed the limit
    */
   reserve(bytes: number, isRefusable: boolean, peer: string): void {
     if (this.limitBytes !== undefined) {
       const limit = isRefusable ? this.limitBytes * ENTRY_QUOTA_FRACTION : this.limitBytes;
       if (this.used + bytes > limit) {
         const context = { step: 'log-store.append', peer, retriable: true };
-        throw new StorageFullError('data folder is full', context);
+        throw new StorageFullError('storage quota is used up', context);
       }
     }
     this.used += bytes;
   }
 
-  /** Counts bytes that are there already. */
+  /** Counts bytes that are already stored. */
   add(bytes: number): void {
     this.used += bytes;
   }
@@ -172,8 +171,8 @@
 
 /**
  * Appends to a file at a known offset and syncs it.
- * @throws DiskFullError when the disk has no room; the same may be appended again later
- * @throws StorageFailedError when the content of the file is unknown
+ * @throws DiskFullError if the disk is full; the same data may be appended again later
+ * @throws StorageFailedError if the content of the file is unknown
  */
 export async function appendAndSync(
   file: LogFile,
@@ -184,7 +183,8 @@
   try {
     await writeWhole(file, bytes, offset);
   } catch (cause) {
-    // A part that stays is written over by the next append, or cut off as a torn tail at a start.
+    // A remaining part is overwritten by the next append, or truncated as a torn tail during
+    // recovery.
     await file.truncate(offset).catch(() => undefined);
     throw storageError(cause, { step: 'log-store.append', peer });
   }
@@ -195,7 +195,7 @@
   }
 }
 
-/** A disk that fills up accepts a part of a write without an error; the next write tells. */
+/** Repeats partial writes. A disk that fills up may accept part of a write without an error. */
 export async function writeWhole(
   file: Pick<LogFile, 'write'>,
   bytes: Buffer,
@@ -209,7 +209,7 @@
   }
 }
 
-/** A file that can be read anywhere; offsets and lengths are in bytes. */
+/** A file with random read access; offsets and lengths are in bytes. */
 export interface ReadableFile {
   read(
     buffer: Uint8Array,
@@ -219,7 +219,7 @@
   ): Promise<{ bytesRead: number }>;
 }
 
-/** Reads exactly so many bytes, into memory of their own; undefined when the file ends before. */
+/** Reads exactly `length` bytes into a new buffer; returns undefined if the file ends before. */
 export async function readBytes(
   file: ReadableFile,
   offset: number,
--- a/src/log-store/errors.ts
+++ b/src/log-store/errors.ts
@@ -1,13 +1,13 @@
 import { LedgegaugeError } from '../common/index.js';
 
-/** Data that had been synced is damaged: the member must not start with this folder. */
+/** Synced data is damaged. The member must not start with this data folder. */
 export class DamagedLogError extends LedgegaugeError {}
 
-/** The data folder has no room left; nothing was written. */
+/** The data folder has no space left; nothing was written. */
 export class StorageFullError extends LedgegaugeError {}
 
-/** The disk itself takes no more bytes, whatever the quota says; other members may have room. */
+/** The disk itself is full, independent of the quota. Other members may have space. */
 export class DiskFullError extends StorageFullError {}
 
-/** A write or sync failed in a way that leaves the file's content unknown. */
+/** A write or sync failed and left the content of the file unknown. */
 export class StorageFailedError extends LedgegaugeError {}
--- a/src/log-store/full-disk.test.ts
+++ b/src/log-store/full-disk.test.ts
@@ -1,4 +1,7 @@
-/** A disk that fills up, takes a part of a write, or stalls: nothing is lost and no process ends. */
+/**
+ * A disk that is full, accepts partial writes, or stalls must neither lose data nor end the
+ * process.
+ */
 import { describe, expect, it } from 'vitest';
 import { FaultyDisk } from '../../tests/support/faulty-disk.js';
 import { temporaryFolder } from '../../tests/support/temporary-folder.js';
@@ -18,7 +21,7 @@
 interface OpenLog {
   log: WriteAheadLog;
   fatal: unknown[];
-  /** What was reported of the disk, in order. */
+  /** Reported changes of the disk state, in order. */
   reports: boolean[];
 }
 
@@ -35,7 +38,7 @@
   return { log, fatal, reports };
 }
 
-/** What a start from the folder finds, on a sound disk. */
+/** Last index recovered from the folder with an intact disk. */
 async function lastIndexAfterRestart(folder: string, segmentBytes?: number): Promise<number> {
   const { log } = await open(folder, new FaultyDisk(), segmentBytes);
   const { lastIndex } = log.group('g');
@@ -43,13 +46,13 @@
   return lastIndex;
 }
 
-/** Whether a promise has been resolved after a while. */
+/** Whether a promise resolves within a short time. */
 async function isResolvedSoon(promise: Promise<unknown>): Promise<boolean> {
   return Promise.race([promise.then(() => true), sleep(150).then(() => false)]);
 }
 
-describe('a disk that is full', () => {
-  it('holds writes back until there is room, refuses new entries, and is reported once', async () => {
+describe('full disk', () => {
+  it('delays writes until there is space, rejects new entries, and reports the state once', async () => {
     const folder = temporaryFolder();
     const disk = new FaultyDisk();
     const { log, fatal, reports } = await open(folder, disk);
@@ -73,7 +76,7 @@
     await again.log.close();
   });
 
-  it('never counts a write as done of which it took only a part', async () => {
+  it('never treats a partial write as complete', async () => {
     const folder = temporaryFolder();
     const disk = new FaultyDisk();
     const { log, fatal } = await open(folder, disk);
@@ -88,7 +91,7 @@
     expect(await lastIndexAfterRestart(folder)).toBe(2);
   });
 
-  it('goes on in the old segment when there is no room for the next one', async () => {
+  it('continues in the current segment when there is no space for the next one', async () => {
     const folder = temporaryFolder();
     const disk = new FaultyDisk();
     const { log, fatal } = await open(folder, disk, 64);
@@ -112,7 +115,7 @@
     expect(await lastIndexAfterRestart(folder, 64)).toBe(next);
   });
 
-  it('lets the log be closed; what was held back was never promised', async () => {
+  it('allows the log to be closed with unacknowledged writes pending', async () => {
     const folder = temporaryFolder();
     const disk = new FaultyDisk();
     const { log, fatal } = await open(folder, disk);
@@ -125,7 +128,7 @@
     expect(await lastIndexAfterRestart(folder)).toBe(1);
   });
 
-  it('does not end the process at the marker that an idle log writes', async () => {
+  it('ignores errors of the idle sync marker', async () => {
     const disk = new FaultyDisk();
     const { log, fatal } = await open(temporaryFolder(), disk);
     await log.append(entries(1));
@@ -137,7 +140,7 @@
     expect(fatal).toEqual([]);
   });
 
-  it('writes over a marker of which it took only a part', async () => {
+  it('overwrites a partial sync marker', async () => {
     const folder = temporaryFolder();
     const disk = new FaultyDisk();
     const { log, fatal } = await open(folder, disk);
@@ -151,7 +154,7 @@
     expect(await lastIndexAfterRestart(folder)).toBe(2);
   });
 
-  it('goes on in the old segment when the next file cannot be made', async () => {
+  it('continues in the current segment when the next file cannot be created', async () => {
     const folder = temporaryFolder();
     const disk = new FaultyDisk();
     const { log, fatal } = await open(folder, disk, 16);
--- a/src/log-store/group-log-state.ts
+++ b/src/log-store/group-log-state.ts
@@ -1,12 +1,12 @@
-/** What the write-ahead log holds of one group, kept in memory and rebuilt at start. */
+/** In-memory state of one group in the write-ahead log, rebuilt during recovery. */
 import type { HardState, LogEntry, LogRecord, SnapshotMark } from './records.js';
 
 export class GroupLogState {
   hardState: HardState = { term: 0, votedFor: undefined };
   snapshot: SnapshotMark = { index: 0, term: 0 };
-  /** Entries after the snapshot, in order without gaps. */
+  /** Entries after the snapshot, in order. Contiguous except during recovery. */
   entries: LogEntry[] = [];
-  /** Bytes of the entries' data. */
+  /** Total size of the entries' data, in bytes. */
   heldBytes = 0;
 
   get lastIndex(): number {
@@ -17,7 +17,7 @@
     return this.entries.at(-1)?.term ?? this.snapshot.term;
   }
 
-  /** The term of the entry at `index`; undefined when it is not held. */
+  /** The term of the entry at `index`; undefined if the entry is not in the log. */
   termAt(index: number): number | undefined {
     if (index === this.snapshot.index) return this.snapshot.term;
     return this.entryAt(index)?.term;
@@ -27,7 +27,7 @@
     return this.entries[index - this.snapshot.index - 1];
   }
 
-  /** Entries from `fromIndex` on, up to `maximumBytes` of data but at least one. */
+  /** Entries from `fromIndex`, up to `maximumBytes` of data but at least one. */
   slice(fromIndex: number, maximumBytes: number): LogEntry[] {
     const result: LogEntry[] = [];
     let bytes = 0;
@@ -41,12 +41,15 @@
     return result;
   }
 
-  /** Whether a snapshot's mark drops all entries, since they lead to another entry at its index, or to none. */
+  /**
+   * Whether a snapshot mark drops all entries because the log has a different entry, or none, at
+   * its index.
+   */
   isContradictedBy({ index, term }: SnapshotMark): boolean {
     return this.entries.length > 0 && index > this.snapshot.index && this.termAt(index) !== term;
   }
 
-  /** Applies a record in the order of the log. */
+  /** Applies a record. Records must be applied in log order. */
   apply(record: LogRecord): void {
     switch (record.kind) {
       case 'entries':
@@ -76,8 +79,8 @@
   }
 
   /**
-   * At a start, segments that a later snapshot covers are gone: the first entry that is found may
-   * lie far behind the snapshot known so far. It keeps its place, and what is missing stays empty.
+   * During recovery, segments covered by a later snapshot are missing, so the first entry may be
+   * far after the known snapshot. It keeps its position, and the gap stays empty.
    */
   private truncateFrom(index: number): void {
     const keptCount = Math.max(0, index - this.snapshot.index - 1);
@@ -86,8 +89,9 @@
   }
 
   /**
-   * An entry that is missing in front of others went with its segment, which a later mark had let go: what
-   * follows it was in the log with it. Dropped, a start would find a gap behind its snapshot.
+   * A missing entry before existing ones was in a segment that a later snapshot allowed to be
+   * removed, so the entries after it match the mark. Dropping them would leave a gap after the
+   * snapshot.
    */
   private compact(mark: SnapshotMark): void {
     if (mark.index <= this.snapshot.index) return;
--- a/src/log-store/index.ts
+++ b/src/log-store/index.ts
@@ -1,4 +1,4 @@
-/** Durable storage of replicated groups: write-ahead log and snapshots. */
+/** Durable storage for replicated groups: write-ahead log and snapshots. */
 export * from './errors.js';
 export {
   type LogFile,
--- a/src/log-store/make-folder.test.ts
+++ b/src/log-store/make-folder.test.ts
@@ -1,4 +1,4 @@
-/** Folders that outlive a loss of power together with the files that are synced in them. */
+/** Created folders must survive a power loss together with synced files in them. */
 import { existsSync, mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { beforeEach, describe, expect, it, vi } from 'vitest';
@@ -7,7 +7,7 @@
 import { makeFolder } from './data-folder.js';
 import { WriteAheadLog } from './write-ahead-log.js';
 
-/** Folders that were opened and synced, in order. */
+/** Synced folders, in order. */
 const synced = vi.hoisted((): string[] => []);
 
 vi.mock('node:fs/promises', async (importOriginal) => {
@@ -28,8 +28,8 @@
   synced.length = 0;
 });
 
-describe('a folder that is made', () => {
-  it('is synced into the one above it, as are those above that were missing', async () => {
+describe('makeFolder', () => {
+  it('syncs the parents of all created folders', async () => {
     const root = temporaryFolder();
     const path = join(root, 'a', 'b', 'c');
     await makeFolder(path);
@@ -37,14 +37,14 @@
     expect(synced).toEqual([join(root, 'a', 'b'), join(root, 'a'), root]);
   });
 
-  it('costs nothing when it is there and in use', async () => {
+  it('syncs nothing for an existing folder with content', async () => {
     const path = temporaryFolder();
     writeFileSync(join(path, 'file'), '');
     await makeFolder(path);
     expect(synced).toEqual([]);
   });
 
-  it('is synced when it is there and empty, up to the first folder that holds more', async () => {
+  it('syncs the parents of an empty folder, up to the first one with other content', async () => {
     const root = temporaryFolder();
     const path = join(root, 'a', 'b');
     mkdirSync(path, { recursive: true });
@@ -53,7 +53,7 @@
     expect(synced).toEqual([join(root, 'a'), root]);
   });
 
-  it('is made so by the log and by the value store', async () => {
+  it('is used by the log and the value store', async () => {
     const root = temporaryFolder();
     const log = await WriteAheadLog.open({
       folder: join(root, 'log'),
--- a/src/log-store/queued-records.test.ts
+++ b/src/log-store/queued-records.test.ts
@@ -1,4 +1,4 @@
-/** What a start finds of records that waited for the disk together, as one batch or as two. */
+/** Recovery of records that were queued together while the disk was busy. */
 import { join } from 'node:path';
 import { describe, expect, it, vi } from 'vitest';
 import { fuzzSeeds } from '../../tests/support/fuzz-seeds.js';
@@ -19,7 +19,7 @@
 
 const GROUP = 'g';
 const OTHER_GROUP = 'other';
-/** Few entries fill a segment, so that many batches are the first of theirs. */
+/** Small segments, so that many batches start a new one. */
 const SEGMENT_BYTES = 250;
 const EARLIER_TERM = 2;
 const LATER_TERM = 3;
@@ -49,18 +49,13 @@
   return `term ${hardState.term} snapshot ${snapshot.index}@${snapshot.term} ${held.join(' ')}`;
 }
 
-describe('records that are written together', () => {
+describe('records written in one batch', () => {
   /**
-   * The head of a segment has the snapshot mark as it is in memory, and stands in front of the records that are
-   * written with it. Entries of an earlier leader and the mark of a later leader's snapshot waited for the
-   * disk together: in memory the mark dropped the entries, which contradict it. A start reads the mark first, so that it
-   * does not drop what comes behind it: the member then says that its log ends in the earlier term, and votes
-   * for a candidate that lacks what is committed.
-   *
-   *     in memory        term 0 snapshot 2@3
-   *     after a restart  term 0 snapshot 2@3 3@2
+   * Regression test: a segment header written from the in-memory state placed a snapshot mark
+   * before conflicting entries of the same batch. Recovery kept these entries, so the member could
+   * vote for a candidate that lacked committed entries.
    */
-  it('leave out entries that contradict a snapshot whose mark came behind them', async () => {
+  it('drop entries that conflict with a later snapshot mark', async () => {
     const disk = new SimulatedDisk('log', { seed: 1 });
     const log = await openLog(disk);
     const entries = [1, 2, 3].map((index) => entryAt(index, EARLIER_TERM));
@@ -74,7 +69,7 @@
     expect(describeState(again.group(GROUP))).toBe(describeState(log.group(GROUP)));
   });
 
-  it('give the state that they gave in memory, in drawn orders', async () => {
+  it('recover to the in-memory state in random orders', async () => {
     const failures: string[] = [];
     for (const seed of fuzzSeeds([], 300)) {
       const failure = await runSchedule(seed);
@@ -84,13 +79,12 @@
   });
 });
 
-describe('a mark that waits behind a batch', () => {
+describe('a queued snapshot mark', () => {
   /**
-   * Segments are let go by the marks in memory, also by one of another group that waits behind the batch that is
-   * written. A process that is killed then leaves a log that begins behind its mark: a leader finds no entry to send to
-   * a member that is behind, and no reason to send a snapshot.
+   * Regression test: segments were removed because of a queued snapshot mark. If the process was
+   * killed before the mark was written, the recovered log had a gap after its snapshot.
    */
-  it('lets no segment go before it is written itself', async () => {
+  it('does not allow removal of segments before it is written', async () => {
     const disk = new SimulatedDisk('log', { seed: 1 });
     const log = await openLog(disk);
     await log.append([
@@ -109,7 +103,7 @@
   });
 });
 
-/** @returns what went wrong; undefined when nothing did */
+/** @returns a description of the failure, or undefined */
 async function runSchedule(seed: number): Promise<string | undefined> {
   const disk = new SimulatedDisk('log', { seed });
   const random = spreadRandom(seed);
@@ -125,12 +119,12 @@
     disk.kill();
     log = await openLog(disk);
     const found = describeState(log.group(GROUP));
-    if (found !== expected) return `seed ${seed}: found ${found} in place of ${expected}`;
+    if (found !== expected) return `seed ${seed}: found ${found} instead of ${expected}`;
   }
   return undefined;
 }
 
-/** What a member writes at one moment: a vote, entries, a mark of its own, or of a leader's snapshot. */
+/** Random records of a member: a vote, entries, its own snapshot mark, or one from a leader. */
 function randomRecords(state: GroupLogState, random: SeededRandom): LogRecord[] {
   const { term } = state.hardState;
   const next = { term: term + 1, votedFor: undefined };
--- a/src/log-store/record-codec.ts
+++ b/src/log-store/record-codec.ts
@@ -1,15 +1,15 @@
 /**
- * Records of a segment file: a header of 12 bytes, then the body.
+ * Record format of segment files: a header of 12 bytes, then the body.
  *
- * Header: body length, CRC-32 over the synced offset and the body, and the offset up to which the
- * segment was known to be synced when the record was written. The last one tells a torn tail from
- * damage: bytes before any later record's synced offset had been acknowledged.
+ * The header contains the body length, a CRC-32 over the synced offset and the body, and the offset
+ * up to which the segment was known to be synced when the record was written. The synced offset
+ * distinguishes a torn tail from damage: data before the synced offset of any later record had been
+ * acknowledged.
  */
 import { crc32 } from 'node:zlib';
 
 export const HEADER_BYTES = 12;
 
-/** Encodes one record. */
 export function encodeRecord(body: Buffer, syncedOffset: number): Buffer {
   const record = Buffer.allocUnsafe(HEADER_BYTES + body.length);
   record.writeUInt32LE(body.length, 0);
@@ -26,7 +26,7 @@
   end: number;
 }
 
-/** Decodes the record at `offset`, or returns undefined when no whole, undamaged record is there. */
+/** Decodes the record at `offset`; returns undefined if it is incomplete or damaged. */
 export function decodeRecord(bytes: Buffer, offset: number): DecodedRecord | undefined {
   if (offset + HEADER_BYTES > bytes.length) return undefined;
   const length = bytes.readUInt32LE(offset);
@@ -41,7 +41,7 @@
   };
 }
 
-/** Whether any record after `offset` proves that bytes beyond `offset` had been synced. */
+/** Whether a record after `offset` proves that data beyond `offset` had been synced. */
 export function hasSyncedDataAfter(bytes: Buffer, offset: number): boolean {
   for (let start = offset + 1; start + HEADER_BYTES <= bytes.length; start += 1) {
     const record = decodeRecord(bytes, start);
--- a/src/log-store/records.ts
+++ b/src/log-store/records.ts
@@ -1,29 +1,33 @@
-/** The records that a write-ahead log holds. One log serves all replicated groups of a process. */
+/** Records of the write-ahead log, which is shared by all replicated groups of a process. */
 import { decodeValue, encodeValue } from '../wire/frame-codec.js';
 
-/** One entry of a group's replicated log. */
+/** An entry of a group's replicated log. */
 export interface LogEntry {
   index: number;
   term: number;
-  /** `command`: for the state machine; `configuration`: members; `empty`: a new leader's first. */
+  /**
+   * `command`: input of the state machine; `configuration`: members; `empty`: first entry of a
+   * term.
+   */
   kind: 'command' | 'configuration' | 'empty';
   data: Uint8Array;
   /**
-   * What goes to this member's disk in one record with the entry, and neither to other members with it nor
-   * into memory: present on the way to the log, and behind a start until it was taken.
+   * Data written to the local disk in one record with the entry. It is neither replicated with the
+   * entry nor kept in memory: present only until the entry is written, and after recovery until it
+   * is taken.
    */
   attachments?: readonly Uint8Array[];
-  /** Bytes of the attachments on disk. @default 0 */
+  /** Size of the attachments on disk, in bytes. @default 0 */
   attachedBytes?: number;
 }
 
-/** What a member must never forget about its votes. */
+/** Raft state that must survive restarts. */
 export interface HardState {
   term: number;
   votedFor: string | undefined;
 }
 
-/** A snapshot that replaces a group's log up to and including `index`. */
+/** Position of a snapshot that replaces a group's log up to and including `index`. */
 export interface SnapshotMark {
   index: number;
   term: number;
@@ -47,7 +51,7 @@
   attachments?: readonly Uint8Array[],
 ];
 
-/** A compact form on disk; field order is the format. */
+/** Compact on-disk format; the order of the fields is fixed. */
 type Stored =
   | ['E', string, StoredEntry[]]
   | ['H', string, number, string | null]
--- a/src/log-store/snapshot-file.ts
+++ b/src/log-store/snapshot-file.ts
@@ -1,10 +1,9 @@
 /**
- * The file of one snapshot, written and read piece by piece so that a process never holds its state
- * a second time:
+ * Snapshot file, written and read in pieces so that the state is never held in memory twice:
  *
  *     checksum (4 bytes) | length of the head (4 bytes) | head | state
  *
- * Integers are little endian; the checksum is the CRC-32 of everything behind it.
+ * Integers are little-endian. The checksum is the CRC-32 of everything after it.
  */
 import { type FileHandle, open } from 'node:fs/promises';
 import { crc32 } from 'node:zlib';
@@ -17,13 +16,13 @@
 const LENGTH_BYTES = 4;
 const PRELUDE_BYTES = CHECKSUM_BYTES + LENGTH_BYTES;
 
-/** What stands before the state. */
+/** Metadata before the state. */
 export interface SnapshotHead extends SnapshotMark {
-  /** Encoded members of the group at `index`. */
+  /** Encoded group configuration at `index`. */
   configuration: Uint8Array;
 }
 
-/** A snapshot to be written: its state in pieces that are encoded as they are asked for. */
+/** A snapshot to write; its state is encoded lazily in pieces. */
 export interface SnapshotSource extends SnapshotHead {
   pieces: Iterable<Uint8Array>;
 }
@@ -45,7 +44,7 @@
   await file.write(checksumBytes, 0, CHECKSUM_BYTES, 0);
 }
 
-/** Reads a snapshot from its beginning to its end; its file may be replaced meanwhile. */
+/** Reads a snapshot sequentially. The file may be replaced while it is open. */
 export class SnapshotReader {
   private checksum: number;
   private offset = 0;
@@ -57,15 +56,15 @@
     private readonly expectedChecksum: number,
     checksumOfHead: number,
     private readonly stateStart: number,
-    /** Bytes of the state. */
+    /** Size of the state, in bytes. */
     readonly stateBytes: number,
   ) {
     this.checksum = checksumOfHead;
   }
 
   /**
-   * @returns undefined when there is no such file
-   * @throws DamagedLogError when the file ends within its head
+   * @returns undefined if the file does not exist
+   * @throws DamagedLogError if the file ends within its head
    */
   static async open(path: string): Promise<SnapshotReader | undefined> {
     let file: FileHandle;
@@ -104,8 +103,8 @@
   }
 
   /**
-   * The next bytes of the state; empty at its end.
-   * @throws DamagedLogError with the last bytes when the checksum does not match
+   * Reads the next bytes of the state; empty at the end.
+   * @throws DamagedLogError after the last bytes if the checksum does not match
    */
   async read(maximumBytes: number): Promise<Buffer> {
     const length = Math.min(maximumBytes, this.stateBytes - this.offset);
--- a/src/log-store/snapshot-store.test.ts
+++ b/src/log-store/snapshot-store.test.ts
@@ -16,7 +16,7 @@
 }
 
 describe('snapshot store', () => {
-  it('gives back a snapshot that was written in pieces', async () => {
+  it('reads a snapshot that was written in pieces', async () => {
     const store = new SnapshotStore(temporaryFolder());
     await store.write('g', source(7, textPieces('one ', '', 'two')));
     const snapshot = await store.read('g');
@@ -25,14 +25,14 @@
     expect(Buffer.from(snapshot!.configuration).toString()).toBe('members');
   });
 
-  it('knows an empty state from no snapshot', async () => {
+  it('distinguishes an empty state from a missing snapshot', async () => {
     const store = new SnapshotStore(temporaryFolder());
     expect(await store.read('g')).toBeUndefined();
     await store.write('g', source(1, []));
     expect((await store.read('g'))?.state).toHaveLength(0);
   });
 
-  it('refuses a file that is damaged at any of its bytes, or cut off there', async () => {
+  it('rejects a file that is damaged or truncated at any byte', async () => {
     const folder = temporaryFolder();
     const store = new SnapshotStore(folder);
     await store.write('g', source(7, textPieces('some state')));
@@ -48,7 +48,7 @@
     }
   });
 
-  it('goes on reading the old file when a new one takes its place', async () => {
+  it('continues reading the old file after it was replaced', async () => {
     const store = new SnapshotStore(temporaryFolder());
     await store.write('g', source(1, textPieces('old state')));
     const reader = (await store.open('g'))!;
@@ -60,7 +60,7 @@
     expect((await store.read('g'))?.index).toBe(2);
   });
 
-  it('asks for a piece only when those before it are written', async () => {
+  it('requests a piece only after the previous ones are written', async () => {
     const folder = temporaryFolder();
     const pieceBytes = 64 * 1024;
     const writtenWhenAsked: number[] = [];
--- a/src/log-store/snapshot-store.ts
+++ b/src/log-store/snapshot-store.ts
@@ -1,4 +1,4 @@
-/** Snapshot files: one a group, replaced as a whole. */
+/** Snapshot files, one per group, replaced atomically. */
 import { join } from 'node:path';
 import { makeFolder, replaceFileWith, syncFolder } from './data-folder.js';
 import {
@@ -9,7 +9,7 @@
 } from './snapshot-file.js';
 
 export interface StoredSnapshot extends SnapshotHead {
-  /** Encoded state of the state machine at `index`. */
+  /** Encoded state machine at `index`. */
   state: Uint8Array;
 }
 
@@ -20,8 +20,8 @@
   constructor(private readonly folder: string) {}
 
   /**
-   * Makes a snapshot durable, unless a later one of the group is stored already.
-   * @throws DiskFullError when there is no room; the one before stands then
+   * Stores a snapshot durably, unless a later one of the group is already stored.
+   * @throws DiskFullError if the disk is full; the previous snapshot is kept
    */
   write(group: string, source: SnapshotSource): Promise<void> {
     const written = this.writing.then(() => this.replace(group, source));
@@ -37,14 +37,14 @@
   }
 
   /**
-   * The whole snapshot of a group.
-   * @throws DamagedLogError when the file's checksum does not match
+   * Reads a group's complete snapshot.
+   * @throws DamagedLogError if the checksum does not match
    */
   async read(group: string): Promise<StoredSnapshot | undefined> {
     const reader = await this.open(group);
     if (!reader) return undefined;
     try {
-      // A killed process may have renamed the file and not synced its name.
+      // A killed process may have renamed the file without syncing the folder.
       await syncFolder(this.folder);
       const state = await reader.read(reader.stateBytes);
       const { index } = reader.head;
@@ -55,7 +55,7 @@
     }
   }
 
-  /** Begins to read a group's snapshot piece by piece; the caller closes the reader. */
+  /** Opens a group's snapshot for reading in chunks. The caller must close the reader. */
   open(group: string): Promise<SnapshotReader | undefined> {
     return SnapshotReader.open(join(this.folder, fileName(group)));
   }
--- a/src/log-store/unreadable-parent-folder.test.ts
+++ b/src/log-store/unreadable-parent-folder.test.ts
@@ -1,11 +1,11 @@
-/** A data folder that an operator has made below one that this process may not read. */
+/** An existing data folder below a folder that this process may not read. */
 import { mkdirSync } from 'node:fs';
 import { dirname, join } from 'node:path';
 import { expect, it, vi } from 'vitest';
 import { temporaryFolder } from '../../tests/support/temporary-folder.js';
 import { makeFolder } from './data-folder.js';
 
-/** Folders that may be passed through and not read, as one of mode 0711. */
+/** Folders that can be traversed but not read, for example with mode 0711. */
 const unreadable = vi.hoisted((): Set<string> => new Set());
 
 vi.mock('node:fs/promises', async (importOriginal) => {
@@ -25,10 +25,10 @@
 });
 
 /**
- * A start syncs the folders above an empty data folder, which it may find without the right to read them: a folder
- * of its own below one that belongs to the machine. It ended with EACCES, where it had started before.
+ * Regression test: startup synced the parents of an empty data folder and failed with EACCES if one
+ * of them was not readable.
  */
-it('is taken as it is when it is empty and the folder above may not be read', async () => {
+it('accepts an empty folder whose parent is not readable', async () => {
   const path = join(temporaryFolder(), 'data');
   mkdirSync(path);
   unreadable.add(dirname(path));
--- a/src/log-store/write-ahead-log-power-loss.test.ts
+++ b/src/log-store/write-ahead-log-power-loss.test.ts
@@ -1,7 +1,6 @@
 /**
- * The write-ahead log over a process that is killed at each of its operations, and a machine that loses power
- * at each operation of the process after it: what a start has handed out counts as durable from then on, since
- * votes and acknowledgements rest on it.
+ * Kills the process, or cuts the power, at each operation of the write-ahead log. Recovered state
+ * must be durable from then on, because votes and acknowledgements depend on it.
  */
 import { join } from 'node:path';
 import { describe, expect, it, vi } from 'vitest';
@@ -25,35 +24,35 @@
 const GROUP = 'g';
 const MEMBER = 'me';
 const TERM = 5;
-/** A few entries fill a segment, so that segments come and go all the time. */
+/** Small segments, so that they are created and removed often. */
 const SEGMENT_BYTES = 250;
-/** What one process does, in steps, and the share of steps that are votes or replace entries. */
+/** Steps per process, and the fraction of them that vote or replace entries. */
 const STEPS = 24;
 const RARE_STEP_FRACTION = 0.1;
 
-/** How one process ends. */
+/** How a process ends. */
 interface Ending {
-  /** Operation at which it is killed, counted from 1. */
+  /** Number of the operation at which it is killed, starting with 1. */
   at: number;
   losesPower: boolean;
 }
 
-/** What a log must hold, as records in their order. */
+/** Model of the log: submitted records in order, and how many are acknowledged. */
 class ExpectedLog {
   private records: LogRecord[] = [];
   private acknowledged = 0;
 
-  /** @returns how many records stand before and with it */
+  /** @returns the number of records including this one */
   submit(record: LogRecord): number {
     return this.records.push(record);
   }
 
-  /** @param count of records, from the first on */
+  /** @param count number of acknowledged records, from the first */
   acknowledge(count: number): void {
     this.acknowledged = Math.max(this.acknowledged, count);
   }
 
-  /** Whether a state is what some of the records give, with all that were acknowledged among them. */
+  /** Whether a state results from a prefix of the records that includes all acknowledged ones. */
   allows(found: GroupLogState): boolean {
     for (let count = this.acknowledged; count <= this.records.length; count += 1) {
       if (describeState(stateAfter(this.records.slice(0, count))) === describeState(found))
@@ -62,7 +61,7 @@
     return false;
   }
 
-  /** From now on all that was found counts. */
+  /** From now on the recovered state counts as acknowledged. */
   restartFrom(found: GroupLogState): void {
     this.records = [
       { kind: 'snapshot', group: GROUP, mark: found.snapshot },
@@ -91,7 +90,7 @@
   return `term ${term} voted ${votedFor} snapshot ${snapshot.index}@${snapshot.term} ${held.join(' ')}`;
 }
 
-/** A member that votes, appends, replaces what it appended, and lets entries go, as drawn. */
+/** Performs random votes, appends, replacements and compactions. */
 async function work(
   log: WriteAheadLog,
   expected: ExpectedLog,
@@ -131,13 +130,13 @@
       ? random.pick([vote, replaceLast])
       : random.pick(steps);
     waiting.push(step());
-    // What is not waited for goes to the disk together with what comes next.
+    // Pending records are written in one batch with the following ones.
     if (random.chance(0.6)) await Promise.all(waiting.splice(0));
   }
   await Promise.all(waiting);
 }
 
-/** Runs one process up to its end. */
+/** Runs one process until it ends. */
 async function runProcess(
   disk: SimulatedDisk,
   expected: ExpectedLog,
@@ -156,7 +155,7 @@
     });
     const found = log.group(GROUP);
     if (!expected.allows(found)) {
-      throw new Error(`found ${describeState(found)}\nin place of ${expected.describe()}`);
+      throw new Error(`found ${describeState(found)}\ninstead of ${expected.describe()}`);
     }
     expected.restartFrom(found);
     await work(log, expected, random);
@@ -176,7 +175,7 @@
   return error instanceof ProcessKilledError || cause instanceof ProcessKilledError;
 }
 
-/** @returns what went wrong; undefined when nothing did */
+/** @returns a description of the failure, or undefined */
 async function runSchedule(
   seed: number,
   endings: readonly Ending[],
@@ -187,7 +186,7 @@
   const expected = new ExpectedLog();
   try {
     for (const ending of endings) await runProcess(disk, expected, random, ending);
-    // Twice: what the first of them lets go shows at the start of the second.
+    // Twice: segments removed by the first process can only be missed by the second one.
     await runProcess(disk, expected, random, undefined);
     await runProcess(disk, expected, random, undefined);
   } catch (error) {
@@ -196,7 +195,7 @@
   return undefined;
 }
 
-/** About as many operations as a process has. */
+/** Approximate number of disk operations per process. */
 const OPERATIONS = 2 * STEPS + 20;
 const MAX_ENDINGS = 5;
 const SCHEDULES = 300;
@@ -224,7 +223,7 @@
   return failures;
 }
 
-/** @param killBefore an operation of the new process at which it is killed */
+/** @param killBefore operation of the new process before which it is killed */
 async function openLog(disk: SimulatedDisk, killBefore?: string): Promise<WriteAheadLog> {
   const root = disk.startProcess();
   disk.killBefore = killBefore;
@@ -242,7 +241,10 @@
   return log.append([{ kind: 'entries', group: GROUP, entries }]);
 }
 
-/** A member that voted fills the first segment; its process is killed while it makes the second one, or begins it. */
+/**
+ * Fills the first segment after a vote, then kills the process while it creates or starts the
+ * second.
+ */
 async function killInSecondSegment(disk: SimulatedDisk, operation: string): Promise<void> {
   const log = await openLog(disk);
   const state = { term: TERM, votedFor: MEMBER };
@@ -254,12 +256,11 @@
 
 describe('a write-ahead log', () => {
   /**
-   * A killed process had made a segment and not written its head, which repeats term and vote. The next
-   * process went on in that segment, a snapshot let the one before go, and with it the only record of the
-   * vote: the start after that knew no term, so that the member could vote twice in one. No loss of power is needed.
-   * Drawn schedules showed it as `found term 0 voted - … in place of term 1 voted me`, with equal entries.
+   * Regression test: a killed process left a new segment without its header. After a snapshot the
+   * previous segment was removed with the only record of the vote, so the member could vote twice
+   * in one term.
    */
-  it('knows its vote after a process was killed between making a segment and writing its head', async () => {
+  it('recovers the vote after a kill between creating a segment and writing its header', async () => {
     const disk = new SimulatedDisk('log', { seed: 1 });
     await killInSecondSegment(disk, 'write /data/log/segment-0000000002.log');
     const log = await openLog(disk);
@@ -270,10 +271,10 @@
   });
 
   /**
-   * A killed process had made a segment and not synced its folder. The next process appended to that segment and
-   * synced the file only; the power went, and with the segment's name all that it had acknowledged.
+   * Regression test: a killed process created a segment without syncing the folder. The next
+   * process appended to it, and a power loss removed the segment with acknowledged entries.
    */
-  it('keeps what it appends to a segment whose name a killed process never synced', async () => {
+  it('keeps entries appended to a segment that a killed process did not sync into its folder', async () => {
     const disk = new SimulatedDisk('log', { seed: 1, nameDurability: 'folder-sync-only' });
     await killInSecondSegment(disk, 'sync folder /data/log');
     const log = await openLog(disk);
@@ -284,10 +285,10 @@
   });
 
   /**
-   * A killed process had made its folders and not synced the ones above. To the next process the folder was there,
-   * so that it synced nothing above either; the power went, and with the folder's name the whole log.
+   * Regression test: a killed process created the data folder without syncing its parents. The next
+   * process did not sync them either, and a power loss removed the complete log.
    */
-  it('keeps what it appends in a folder whose name a killed process never synced', async () => {
+  it('keeps entries appended in a folder that a killed process did not sync into its parent', async () => {
     const disk = new SimulatedDisk('log', { seed: 1, nameDurability: 'folder-sync-only' });
     await expect(openLog(disk, 'open r /data')).rejects.toThrow();
     const log = await openLog(disk);
@@ -298,16 +299,16 @@
   });
 });
 
-describe('the write-ahead log over drawn deaths and losses of power', () => {
-  it('keeps what a start has found over a kill and then a loss of power', async () => {
+describe('the write-ahead log with random kills and power losses', () => {
+  it('keeps recovered state over a kill followed by a power loss', async () => {
     expect(await runSchedules(killThenPowerLoss, 'file-sync')).toEqual([]);
   });
 
-  it('keeps what a start has found over several of both', async () => {
+  it('keeps recovered state over several kills and power losses', async () => {
     expect(await runSchedules(severalEndings, 'file-sync')).toEqual([]);
   });
 
-  it('does so where only the sync of a folder keeps the names of its new files', async () => {
+  it('keeps recovered state if only a folder sync makes new file names durable', async () => {
     expect(await runSchedules(severalEndings, 'folder-sync-only')).toEqual([]);
   });
 });
--- a/src/log-store/write-ahead-log.test.ts
+++ b/src/log-store/write-ahead-log.test.ts
@@ -32,7 +32,7 @@
 }
 
 describe('write-ahead log', () => {
-  it('gives back what was synced', async () => {
+  it('recovers synced entries', async () => {
     const folder = temporaryFolder();
     await writeEntries(folder, 3);
     const log = await open(folder);
@@ -41,7 +41,7 @@
     await log.close();
   });
 
-  it('keeps votes and cuts what a new leader replaced', async () => {
+  it('keeps votes and truncates entries replaced by a new leader', async () => {
     const folder = temporaryFolder();
     const log = await open(folder);
     await log.append([
@@ -60,7 +60,7 @@
     await again.close();
   });
 
-  it('cuts a torn tail and goes on from there', async () => {
+  it('truncates a torn tail and continues from there', async () => {
     const folder = temporaryFolder();
     await writeEntries(folder, 3);
     const path = segmentPath(folder);
@@ -85,7 +85,7 @@
     await expect(open(folder)).rejects.toBeInstanceOf(DamagedLogError);
   });
 
-  it('knows damage to the last synced record from a torn write once it has been idle', async () => {
+  it('distinguishes damage to the last synced record from a torn write after idling', async () => {
     const folder = temporaryFolder();
     const log = await open(folder);
     await log.append([{ kind: 'entries', group: 'g', entries: [entry(1)] }]);
@@ -100,7 +100,7 @@
     await expect(open(folder)).rejects.toBeInstanceOf(DamagedLogError);
   });
 
-  it('removes segments that all snapshots cover', async () => {
+  it('removes segments covered by snapshots', async () => {
     const folder = temporaryFolder();
     const log = await open(folder, { segmentBytes: 256 });
     for (let index = 1; index <= 40; index += 1) {
@@ -115,7 +115,7 @@
     await again.close();
   });
 
-  it('finds every entry behind the snapshot in its place when segments before it are gone', async () => {
+  it('recovers all entries after the snapshot when earlier segments have been removed', async () => {
     const folder = temporaryFolder();
     const log = await open(folder, { segmentBytes: 256 });
     const append = async (first: number, last: number): Promise<void> => {
@@ -126,7 +126,7 @@
     const snapshot = (index: number): Promise<void> =>
       log.append([{ kind: 'snapshot', group: 'g', mark: { index, term: 1 } }]);
     await append(1, 40);
-    // The segments that are left begin with marks of older snapshots than the entries behind them.
+    // The remaining segments start with marks of snapshots older than their entries.
     await snapshot(33);
     await append(41, 60);
     await snapshot(45);
@@ -146,12 +146,10 @@
   });
 
   /**
-   * Journals ended at each start after a loss of power with `ledger: entry 19213 is missing`. The first of two
-   * snapshot marks in a segment pointed into a segment before it that the second mark had let go. Its entry was not
-   * found, so that all entries known by then were taken for replaced and dropped; the second mark was in
-   * the midst of them, and what came behind it was gone.
+   * Regression test: a snapshot mark referred to an entry in a removed segment. Recovery treated
+   * the known entries as conflicting and dropped them, which left a gap after the next mark.
    */
-  it('keeps what follows a mark whose own entry went with its segment', async () => {
+  it('keeps entries after a mark whose own entry was in a removed segment', async () => {
     const folder = temporaryFolder();
     const log = await open(folder, { segmentBytes: 1_000 });
     const append = (...indexes: number[]): Promise<void> =>
@@ -174,7 +172,7 @@
     await again.close();
   });
 
-  it('refuses entries before the quota is used up, but still takes votes', async () => {
+  it('rejects entries before the quota is used up, but still accepts votes', async () => {
     const log = await open(temporaryFolder(), { quotaBytes: 1_000 });
     const large = entry(1, 1, 'x'.repeat(950));
     expect(() => log.append([{ kind: 'entries', group: 'g', entries: [large] }])).toThrow(
--- a/src/log-store/write-ahead-log.ts
+++ b/src/log-store/write-ahead-log.ts
@@ -1,8 +1,8 @@
 /**
- * The write-ahead log of a process: segment files shared by all its replicated groups, so that one
- * sync serves every group that has something to write (group commit). A single writer task takes
- * all queued records, writes them in one go, syncs once and wakes their owners. While the disk is
- * full it holds them back and tries again; new entries are refused meanwhile.
+ * Write-ahead log of a process. All replicated groups share its segment files, so that one sync
+ * serves all groups with pending records (group commit). A single writer takes all queued records,
+ * writes and syncs them together and resolves their promises. While the disk is full, it retries
+ * the write and new entries are rejected.
  */
 import { open, readdir, readFile, rm, truncate } from 'node:fs/promises';
 import { join } from 'node:path';
@@ -32,25 +32,24 @@
 const SEGMENT_DIGITS = 10;
 const DEFAULT_SEGMENT_BYTES = 32 * 1024 * 1024;
 const SYNC_MARKER_IDLE_MS = 20;
-/** With more segments than this, groups that hold the oldest are asked for a snapshot. */
-const MAX_SEGMENTS = 3;
 /**
- * Pause between two tries on a full disk, in milliseconds: short beside an election time-out, so
- * that a member takes part again as soon as there is room.
+ * Above this number of segments, groups with entries in the oldest one are asked for a snapshot.
  */
+const MAX_SEGMENTS = 3;
+/** Delay between writes to a full disk, short compared with an election timeout. */
 const DISK_FULL_RETRY_MS = 100;
 
 export interface WriteAheadLogOptions {
   folder: string;
-  /** A segment is closed once it has this many bytes. @default 32 MiB */
+  /** Size at which a new segment is started. @default 32 MiB */
   segmentBytes?: number;
-  /** Bytes that all segments together may take. @default no limit */
+  /** Maximum total size of all segments, in bytes. @default no limit */
   quotaBytes?: number;
-  /** Called once when a write or sync failed so that the process must end. */
+  /** Called once if a write or sync failed, after which the process must end. */
   onFatal: (error: unknown) => void;
-  /** Called when the disk is found full, and when a write goes through again. */
+  /** Called when the disk becomes full, and when a write succeeds again. */
   onFullChange?: (isFull: boolean) => void;
-  /** Opens a segment file. @default the file system's */
+  /** Opens a segment file. @default `open` of `node:fs/promises` */
   openFile?: OpenLogFile;
 }
 
@@ -68,13 +67,13 @@
   /** The highest entry index of each group in this segment. */
   highestIndex: Map<string, number>;
   /**
-   * Whether it repeats term, vote and snapshot mark of every group, which may stand nowhere else once the
-   * segments before it are gone.
+   * Whether the segment starts with term, vote and snapshot mark of every group, which may exist
+   * nowhere else once earlier segments are removed.
    */
   hasHeader: boolean;
 }
 
-/** What a segment's head repeats of a group, as far as it has been written. */
+/** Group state repeated in segment headers, as last written. */
 interface WrittenState {
   hardState: HardState;
   mark: SnapshotMark;
@@ -88,8 +87,9 @@
 export class WriteAheadLog {
   private readonly groups = new Map<string, GroupLogState>();
   /**
-   * By group. The states in memory are ahead by what is queued: a mark in front of the entries that it drops would
-   * not drop them at a start, and a segment must not go for a mark that may never be written.
+   * Written state by group. The in-memory state also includes queued records and must not be used:
+   * a header mark before the entries that it drops would not drop them during recovery, and a
+   * segment must not be removed for a mark that may never be written.
    */
   private readonly written = new Map<string, WrittenState>();
   private readonly queue: QueuedWrite[] = [];
@@ -104,7 +104,7 @@
   private markerNeeded = false;
   private closing = false;
   private writer: Promise<void> | undefined;
-  /** Counters for metrics: syncs done and bytes written. */
+  /** Counters for metrics. */
   readonly counters = { syncs: 0, bytes: 0, records: 0 };
 
   private constructor(private readonly options: WriteAheadLogOptions) {
@@ -114,8 +114,8 @@
   }
 
   /**
-   * Opens the log and rebuilds every group's state from it.
-   * @throws DamagedLogError when data that had been synced is damaged
+   * Opens the log and rebuilds the state of all groups.
+   * @throws DamagedLogError if synced data is damaged
    */
   static async open(options: WriteAheadLogOptions): Promise<WriteAheadLog> {
     const log = new WriteAheadLog(options);
@@ -125,7 +125,7 @@
     return log;
   }
 
-  /** The state of one group; made empty when the log holds nothing of it. */
+  /** Returns the state of a group, which is created empty if the log has none. */
   group(name: string): GroupLogState {
     let state = this.groups.get(name);
     if (!state) {
@@ -140,8 +140,8 @@
   }
 
   /**
-   * Applies records to the groups' states in memory at once and resolves when they are synced.
-   * @throws StorageFullError (synchronously) when there is no room; nothing was applied then
+   * Applies records to the in-memory state immediately. Resolves when they are synced.
+   * @throws StorageFullError (synchronously) if there is no space; nothing was applied then
    */
   append(appended: LogRecord[]): Promise<void> {
     const records = appended.flatMap((record) => this.withExplicitTruncation(record));
@@ -156,7 +156,7 @@
     return done.promise;
   }
 
-  /** Groups whose entries keep a segment from removal although later segments have come since. */
+  /** Groups whose entries prevent the removal of the oldest segment. */
   groupsHoldingOldSegments(): string[] {
     if (this.segments.length <= MAX_SEGMENTS) return [];
     const [oldest] = this.segments;
@@ -165,7 +165,7 @@
       .map(([group]) => group);
   }
 
-  /** Writes what is queued and closes the file. */
+  /** Writes queued records and closes the file. */
   async close(): Promise<void> {
     this.closing = true;
     this.wake.notify();
@@ -174,8 +174,8 @@
   }
 
   /**
-   * A start may find the entries that a mark drops without the one at the mark's index, whose segment is gone: it could
-   * not tell then that they contradict the mark.
+   * Adds an explicit truncation before a conflicting mark. Recovery cannot detect the conflict if
+   * the segment with the entry at the mark's index has been removed.
    */
   private withExplicitTruncation(record: LogRecord): LogRecord[] {
     if (record.kind !== 'snapshot') return [record];
@@ -209,7 +209,7 @@
     }
   }
 
-  /** @returns false when the log was closed first; the owners of the batch are told nothing */
+  /** @returns false if the log was closed first; the batch is never resolved then */
   private async writeWithRetry(batch: QueuedWrite[]): Promise<boolean> {
     for (;;) {
       try {
@@ -236,7 +236,9 @@
     return new DiskFullError('disk is full', context);
   }
 
-  /** Once idle, records how far the segment is synced, so that later damage can be recognised. */
+  /**
+   * When idle, writes a marker with the synced offset, which allows damage to be detected later.
+   */
   private async waitForWork(): Promise<void> {
     if (!this.markerNeeded) {
       await this.wake.wait();
@@ -249,10 +251,10 @@
     try {
       const { bytes } = this.currentSegment;
       const { bytesWritten } = await this.file.write(marker, 0, marker.length, bytes);
-      // The next append writes over a part of a marker.
+      // A partial marker is overwritten by the next append.
       if (bytesWritten === marker.length) this.currentSegment.bytes += marker.length;
     } catch {
-      // The marker only sharpens what a later start can tell; the next append meets the disk itself.
+      // The marker is optional; the next append reports errors of the disk.
     }
   }
 
@@ -277,7 +279,9 @@
     this.counters.records += records.length;
   }
 
-  /** Removes segments that are covered and begins the next one; a full disk leaves it for later. */
+  /**
+   * Removes covered segments and starts the next one, which is postponed while the disk is full.
+   */
   private async rotateSegments(batch: QueuedWrite[]): Promise<void> {
     const hasSnapshot = batch.some(({ records }) =>
       records.some((record) => record.kind === 'snapshot'),
@@ -289,7 +293,7 @@
       await this.startSegment(number + 1);
     } catch (error) {
       if (!(error instanceof DiskFullError)) throw error;
-      // The old segment still takes writes; they meet a full disk themselves.
+      // Continues in the current segment, whose writes handle a full disk.
       await rm(this.segmentPath(number + 1), { force: true });
     }
   }
@@ -312,8 +316,8 @@
   }
 
   /**
-   * The first batch that is written to it brings the head.
-   * @throws DiskFullError when there is no room; the log goes on in the segment before
+   * Starts a segment. Its header is written with the first batch.
+   * @throws DiskFullError if the disk is full; the current segment stays in use
    */
   private async startSegment(number: number): Promise<void> {
     const file = await createFile(this.segmentPath(number), this.openFile);
@@ -330,7 +334,7 @@
     await previous?.close();
   }
 
-  /** A segment may go once every group's snapshot covers all entries that it holds. */
+  /** Removes the oldest segments while all of their entries are covered by snapshots. */
   private async removeOldSegments(): Promise<void> {
     while (this.segments.length > 1) {
       const oldest = this.segments[0]!;
@@ -364,7 +368,7 @@
     }
     this.file = await this.openFile(this.segmentPath(this.currentSegment.number), 'r+');
     this.syncedOffset = this.currentSegment.bytes;
-    // What a killed process wrote, and the names of the files it made, may be in the machine's memory only.
+    // Data and file names written by a killed process may not be synced yet.
     await this.file.datasync();
     await syncFolder(this.options.folder);
   }
@@ -372,7 +376,7 @@
   private async recoverSegment(number: number, isLast: boolean): Promise<void> {
     const path = this.segmentPath(number);
     const bytes = await readFile(path);
-    // A killed process may have left no head, or a part of one: the next batch writes it again.
+    // A killed process may have left an incomplete header; the next batch writes it again.
     const segment: Segment = { number, bytes: 0, highestIndex: new Map(), hasHeader: false };
     while (segment.bytes < bytes.length) {
       const record = decodeRecord(bytes, segment.bytes);
@@ -395,7 +399,7 @@
   ): Promise<void> {
     if (!isLast || hasSyncedDataAfter(bytes, end)) {
       throw new DamagedLogError(
-        `damaged at byte ${end} before synced data; restore this member as a new one`,
+        `log is damaged at byte ${end}, before synced data; replace this member by a new one`,
         { step: 'log-store.recover', peer: path },
       );
     }
