--- a/src/ledger/ledger-client.ts
+++ b/src/ledger/ledger-client.ts
@@ -28,7 +28,7 @@
 /** How long settlements wait to be piggybacked on a reservation, in milliseconds. */
 const PIGGYBACK_WAIT_MS = 250;
 /** Lower bound of the silence from which reservations carry no settlements, in milliseconds. */
-const PIGGYBACK_MAX_SILENCE_MS = 50;
+const PIGGYBACK_SILENCE_MS = 50;
 /** Initial and maximum retry delays of failed settlements, in milliseconds. */
 const RETRY_DELAY_MS = 200;
 const MAX_RETRY_DELAY_MS = 1_000;
@@ -105,7 +105,8 @@
     trace.knownLeader = this.groups.lastHeardLeader(LEDGER_GROUP);
     const { program, mostTokens } = request;
     const isCovered = mayUseAllowance && this.allowances.covers(program, mostTokens);
-    if (isCovered && monotonicMs() < this.leaderSuspectUntil) return this.drawAllowance(request);
+    if (isCovered && monotonicMs() < this.leaderSuspectUntil)
+      return this.grantFromAllowance(request);
     const limitMs = isCovered ? COVERED_RESERVE_TIMEOUT_MS : this.outage.waitMs(usefulMs);
     if (limitMs <= 0) {
       trace.failedStep = this.latestRefusal ? 'commit' : 'find-leader';
@@ -121,7 +122,7 @@
       if (error instanceof HistoryMissingError) throw error;
       this.leaderSuspectUntil = monotonicMs() + LEADER_SUSPECT_MS;
       if (isCovered && this.allowances.covers(program, mostTokens)) {
-        return this.drawAllowance(request);
+        return this.grantFromAllowance(request);
       }
       throw error;
     }
@@ -229,11 +230,11 @@
   }
 
   private get canPiggyback(): boolean {
-    const normalResponseMs = Math.max(PIGGYBACK_MAX_SILENCE_MS, 2 * this.window.expectedResponseMs);
+    const normalResponseMs = Math.max(PIGGYBACK_SILENCE_MS, 2 * this.window.expectedResponseMs);
     return !this.isLeaderUnavailable && this.outage.silenceMs < normalResponseMs;
   }
 
-  private drawAllowance({
+  private grantFromAllowance({
     program,
     attempt,
     mostTokens,
