--- a/src/wire/connection-race.ts
+++ b/src/wire/connection-race.ts
@@ -14,17 +14,17 @@
  */
 export const ATTEMPT_DELAY_PER_SILENCE_LIMIT = 0.5;
 /** A pause is this share of its bound at least: all peers of a process that comes back have tried in vain. */
-const SHORTEST_PAUSE_SHARE = 0.75;
+const MIN_DELAY_FRACTION = 0.75;
 /** Tries come no faster than in proportion to the silence: a long one leaves few connections to clear up. */
-const PAUSE_SHARE_OF_SILENCE = 0.25;
-const LONGEST_PAUSE_MS = 1_600;
+const DELAY_PER_SILENCE = 0.25;
+const MAX_ATTEMPT_DELAY_MS = 1_600;
 
 /** One try to connect and to prove both sides. */
 export interface ConnectionAttempt {
   /** The connection is not wanted any more. */
   signal: AbortSignal;
   /** The peer has spoken, but has not proved itself yet. */
-  onHeard: () => void;
+  onDataReceived: () => void;
 }
 
 export type OpenConnection = (attempt: ConnectionAttempt) => Promise<RpcConnection>;
@@ -39,8 +39,8 @@
   private readonly ended = new AbortController();
   private readonly result = new Deferred<RpcConnection | undefined>();
   private readonly startedAt = monotonicMs();
-  private nextTryAt = 0;
-  private openTries = 0;
+  private nextAttemptAt = 0;
+  private pendingAttempts = 0;
 
   constructor(private readonly options: ConnectionRaceOptions) {
     void this.run();
@@ -66,34 +66,34 @@
 
   private async run(): Promise<void> {
     while (!this.ended.signal.aborted) {
-      this.nextTryAt = monotonicMs() + this.pauseMs();
-      void this.tryOnce();
-      await this.waitForNextTry();
+      this.nextAttemptAt = monotonicMs() + this.nextDelayMs();
+      void this.attemptOnce();
+      await this.waitForNextAttempt();
     }
   }
 
-  private async waitForNextTry(): Promise<void> {
+  private async waitForNextAttempt(): Promise<void> {
     const { signal } = this.ended;
     for (;;) {
-      const leftMs = this.nextTryAt - monotonicMs();
+      const leftMs = this.nextAttemptAt - monotonicMs();
       if (leftMs <= 0 || signal.aborted) return;
       await sleep(leftMs, signal);
     }
   }
 
-  private async tryOnce(): Promise<void> {
+  private async attemptOnce(): Promise<void> {
     const startedAt = monotonicMs();
     const { signal } = this.ended;
-    this.openTries += 1;
+    this.pendingAttempts += 1;
     try {
       const connection = await this.options.open({
         signal,
-        onHeard: () => this.noteHeard(startedAt),
+        onDataReceived: () => this.noteDataReceived(startedAt),
       });
-      this.openTries -= 1;
+      this.pendingAttempts -= 1;
       this.win(connection);
     } catch (error) {
-      this.openTries -= 1;
+      this.pendingAttempts -= 1;
       this.fail(error);
     }
   }
@@ -109,28 +109,28 @@
 
   /** The peer of another try may only be late; silence says no more than that there is no answer yet. */
   private fail(error: unknown): void {
-    if (error instanceof TimeoutError || this.openTries > 0) return;
+    if (error instanceof TimeoutError || this.pendingAttempts > 0) return;
     this.result.reject(error);
     this.ended.abort();
   }
 
   /** A peer that is only late gets no more handshakes to do while one of them is on its way. */
-  private noteHeard(startedAt: number): void {
+  private noteDataReceived(startedAt: number): void {
     const now = monotonicMs();
-    this.nextTryAt = Math.max(this.nextTryAt, now + (now - startedAt) + this.paceMs);
+    this.nextAttemptAt = Math.max(this.nextAttemptAt, now + (now - startedAt) + this.minDelayMs);
   }
 
-  private get paceMs(): number {
+  private get minDelayMs(): number {
     return Math.max(
       CONNECTION_ATTEMPT_DELAY_MS,
       this.options.silenceLimitMs() * ATTEMPT_DELAY_PER_SILENCE_LIMIT,
     );
   }
 
-  private pauseMs(): number {
+  private nextDelayMs(): number {
     const silentMs = monotonicMs() - this.startedAt;
-    const proportionateMs = Math.max(this.paceMs, silentMs * PAUSE_SHARE_OF_SILENCE);
-    const boundMs = Math.min(LONGEST_PAUSE_MS, proportionateMs);
-    return boundMs * (SHORTEST_PAUSE_SHARE + Math.random() * (1 - SHORTEST_PAUSE_SHARE));
+    const proportionateMs = Math.max(this.minDelayMs, silentMs * DELAY_PER_SILENCE);
+    const boundMs = Math.min(MAX_ATTEMPT_DELAY_MS, proportionateMs);
+    return boundMs * (MIN_DELAY_FRACTION + Math.random() * (1 - MIN_DELAY_FRACTION));
   }
 }
--- a/src/wire/framed-socket.ts
+++ b/src/wire/framed-socket.ts
@@ -8,9 +8,9 @@
   /** Bytes received and sent since the socket was made. */
   readonly traffic = { received: 0, sent: 0 };
   private readonly decoder: FrameDecoder;
-  private readonly unread: unknown[] = [];
+  private readonly unreadFrames: unknown[] = [];
   private readonly closedEvent = new Deferred<void>();
-  private waitingReader: Deferred<unknown> | undefined;
+  private pendingRead: Deferred<unknown> | undefined;
   private listener: ((value: unknown) => void) | undefined;
   private corked = false;
   private lastReceived = monotonicMs();
@@ -41,7 +41,7 @@
   }
 
   /** Bytes that were sent and have not left this process yet. */
-  get waitingBytes(): number {
+  get bufferedBytes(): number {
     return this.socket.writableLength;
   }
 
@@ -63,7 +63,7 @@
   /** Hands every frame, also those already received, to `listener` from now on. */
   listen(listener: (value: unknown) => void): void {
     this.listener = listener;
-    for (const value of this.unread.splice(0)) listener(value);
+    for (const value of this.unreadFrames.splice(0)) listener(value);
   }
 
   /**
@@ -71,19 +71,19 @@
    * @throws TimeoutError after `timeoutMs`
    * @throws LinkError when the socket closes first
    */
-  async readOne<T>(step: string, timeoutMs: number): Promise<T> {
-    if (this.unread.length > 0) return this.unread.shift() as T;
+  async readFrame<T>(step: string, timeoutMs: number): Promise<T> {
+    if (this.unreadFrames.length > 0) return this.unreadFrames.shift() as T;
     const waiting = new Deferred<unknown>();
-    this.waitingReader = waiting;
+    this.pendingRead = waiting;
     // After a standstill timers run before what has arrived is read: that is read first.
     const timer = setTimeout(() => {
-      setImmediate(() => waiting.reject(this.noAnswer(step)));
+      setImmediate(() => waiting.reject(this.timeoutError(step)));
     }, timeoutMs);
     try {
       return (await waiting.promise) as T;
     } finally {
       clearTimeout(timer);
-      this.waitingReader = undefined;
+      this.pendingRead = undefined;
     }
   }
 
@@ -91,7 +91,7 @@
     this.socket.destroy();
   }
 
-  private noAnswer(step: string): TimeoutError {
+  private timeoutError(step: string): TimeoutError {
     return new TimeoutError('no answer', { step, peer: this.peer, retriable: true });
   }
 
@@ -110,12 +110,12 @@
 
   private deliver(value: unknown): void {
     if (this.listener) this.listener(value);
-    else if (this.waitingReader) this.waitingReader.resolve(value);
-    else this.unread.push(value);
+    else if (this.pendingRead) this.pendingRead.resolve(value);
+    else this.unreadFrames.push(value);
   }
 
   private onClose(): void {
-    this.waitingReader?.reject(
+    this.pendingRead?.reject(
       new LinkError('connection closed', { step: 'wire.read', peer: this.peer, retriable: true }),
     );
     this.closedEvent.resolve();
--- a/src/wire/half-open.test.ts
+++ b/src/wire/half-open.test.ts
@@ -17,13 +17,13 @@
 const HOST = '127.0.0.1';
 const ECHO = defineMethod<{ text: string }, { text: string }>('test.echo');
 const LIMITS = { timeoutMs: 2_000, silenceMs: 300 };
-const TOLD_MS = 500;
+const REPORTED_WITHIN_MS = 500;
 
 it('tells the server that a peer has left though one of its connections went silent before', async () => {
   const router = new MethodRouter();
   router.handle(ECHO, ({ text }) => ({ text }));
-  const left: string[] = [];
-  const onDisconnect = (name: string): void => void left.push(name);
+  const disconnected: string[] = [];
+  const onDisconnect = (name: string): void => void disconnected.push(name);
   const options = { host: HOST, port: 0, secret: SECRET, router, onDisconnect };
   const server = await RpcServer.start(options);
   onTestFinished(() => server.close());
@@ -37,9 +37,9 @@
   await waitUntil('replaced', () => link.isConnected);
   await sleep(MAX_SILENCE_LIMIT_MS);
   await link.call(ECHO, { text: '' }, LIMITS);
-  expect(left).toEqual([]);
+  expect(disconnected).toEqual([]);
 
   link.close();
-  await waitUntil('told', () => left.length > 0, TOLD_MS);
-  expect(left).toEqual(['leader']);
+  await waitUntil('told', () => disconnected.length > 0, REPORTED_WITHIN_MS);
+  expect(disconnected).toEqual(['leader']);
 });
--- a/src/wire/peer-link.ts
+++ b/src/wire/peer-link.ts
@@ -85,7 +85,7 @@
     request: Request,
     options: CallOptions,
   ): Promise<Response> {
-    if (!this.connection?.isOpen) return Promise.reject(this.downError(method.name));
+    if (!this.connection?.isOpen) return Promise.reject(this.linkDownError(method.name));
     return this.connection.call(method, request, options);
   }
 
@@ -116,7 +116,7 @@
         this.race = undefined;
         if (!connection) continue;
         backoff.reset();
-        await this.use(connection);
+        await this.useUntilClosed(connection);
         if (this.race) continue;
       } catch {
         // The wait below covers every cause; callers see LinkError meanwhile.
@@ -127,7 +127,7 @@
   }
 
   /** Resolves when the connection has closed. */
-  private async use(connection: RpcConnection): Promise<void> {
+  private async useUntilClosed(connection: RpcConnection): Promise<void> {
     this.connection = connection;
     this.connected.notify();
     await connection.closed;
@@ -145,11 +145,11 @@
     return this.race;
   }
 
-  private async replace(suspect: RpcConnection): Promise<void> {
+  private async replaceSuspect(suspect: RpcConnection): Promise<void> {
     if (suspect !== this.connection) return;
     try {
-      const fresh = await this.startRace().winner;
-      if (fresh) suspect.close();
+      const replacement = await this.startRace().winner;
+      if (replacement) suspect.close();
     } catch {
       // Late in the handshake says no more than the silence did; a machine that can't be reached does.
       suspect.close();
@@ -157,7 +157,7 @@
   }
 
   /** The suspect connection speaks again: its peer was only late. */
-  private keep(connection: RpcConnection): void {
+  private keepResponsive(connection: RpcConnection): void {
     if (connection !== this.connection) return;
     this.race?.stop();
     this.race = undefined;
@@ -166,16 +166,16 @@
   private async open(attempt: ConnectionAttempt): Promise<RpcConnection> {
     const socket = await dial(this.options.address);
     const framed = new FramedSocket(socket, this.options.address);
-    const giveUp = (): void => framed.destroy();
-    attempt.signal.addEventListener('abort', giveUp, { once: true });
+    const abort = (): void => framed.destroy();
+    attempt.signal.addEventListener('abort', abort, { once: true });
     try {
-      if (attempt.signal.aborted) giveUp();
-      await this.exchangeProofs(framed, attempt);
+      if (attempt.signal.aborted) abort();
+      await this.authenticate(framed, attempt);
     } catch (error) {
       framed.destroy();
       throw error;
     } finally {
-      attempt.signal.removeEventListener('abort', giveUp);
+      attempt.signal.removeEventListener('abort', abort);
     }
     return this.createConnection(framed);
   }
@@ -184,30 +184,30 @@
     const router = this.options.router ?? new MethodRouter();
     const connection: RpcConnection = new RpcConnection(framed, router, this.options.address, {
       silenceLimit: this.silenceLimit,
-      onSuspect: () => void this.replace(connection),
-      onResponsive: () => this.keep(connection),
+      onSuspect: () => void this.replaceSuspect(connection),
+      onResponsive: () => this.keepResponsive(connection),
     });
     return connection;
   }
 
-  private async exchangeProofs(
+  private async authenticate(
     framed: FramedSocket,
-    { onHeard }: ConnectionAttempt,
+    { onDataReceived }: ConnectionAttempt,
   ): Promise<void> {
     const { ownName, secret } = this.options;
     const step = 'wire.authenticate';
-    const challenge = await framed.readOne<ServerChallenge>(step, HANDSHAKE_STEP_TIMEOUT_MS);
-    onHeard();
+    const challenge = await framed.readFrame<ServerChallenge>(step, HANDSHAKE_STEP_TIMEOUT_MS);
+    onDataReceived();
     const nonce = createNonce();
     const proof = clientProof(secret, challenge.nonce, nonce, ownName);
     framed.send({ name: ownName, nonce, proof });
-    const answer = await framed.readOne<ServerProof>(step, HANDSHAKE_STEP_TIMEOUT_MS);
-    if (!proofsMatch(serverProof(secret, challenge.nonce, nonce), String(answer.proof))) {
+    const response = await framed.readFrame<ServerProof>(step, HANDSHAKE_STEP_TIMEOUT_MS);
+    if (!proofsMatch(serverProof(secret, challenge.nonce, nonce), String(response.proof))) {
       throw new AuthenticationError('wrong proof', { step, peer: framed.peer });
     }
   }
 
-  private downError(step: string): LinkError {
+  private linkDownError(step: string): LinkError {
     return new LinkError('link is down', { step, peer: this.options.address, retriable: true });
   }
 }
--- a/src/wire/rpc-connection.ts
+++ b/src/wire/rpc-connection.ts
@@ -18,7 +18,7 @@
   silenceTimer: NodeJS.Timeout | undefined;
   method: string;
   /** An answer until then is no sign of a late peer (monotonic, milliseconds). */
-  inTimeUntil: number;
+  responseDueAt: number;
 }
 
 /** A shorter silence after the first unanswered request says nothing about the connection. */
@@ -31,7 +31,7 @@
 export const MAX_SILENCE_LIMIT_MS = 1_500;
 
 /** Bytes that may wait for a peer before notices to it are dropped: some large ones. */
-const MOST_WAITING_NOTICE_BYTES = 256 * 1024;
+const MAX_BUFFERED_NOTIFICATION_BYTES = 256 * 1024;
 
 export interface CallOptions {
   /** How long to wait for the response, in milliseconds. */
@@ -122,11 +122,11 @@
     const { timeoutMs, silenceMs } = options;
     this.pending.set(id, {
       deferred,
-      timer: setTimeout(() => this.timeOut(id), timeoutMs),
+      timer: setTimeout(() => this.onTimeout(id), timeoutMs),
       silenceTimer:
         silenceMs === undefined ? undefined : setTimeout(() => this.checkSilence(), silenceMs),
       method: method.name,
-      inTimeUntil: now + Math.min(timeoutMs, silenceMs ?? timeoutMs),
+      responseDueAt: now + Math.min(timeoutMs, silenceMs ?? timeoutMs),
     });
     this.socket.send({ k: 'q', i: id, m: method.name, b: request } satisfies Envelope);
     return deferred.promise as Promise<Response>;
@@ -137,7 +137,7 @@
    * memory for as long as it is, and notices are worth little when they are late.
    */
   notify<Request>(method: Method<Request, void>, request: Request): void {
-    if (this.isSuspect || this.socket.waitingBytes > MOST_WAITING_NOTICE_BYTES) return;
+    if (this.isSuspect || this.socket.bufferedBytes > MAX_BUFFERED_NOTIFICATION_BYTES) return;
     this.socket.send({ k: 'n', m: method.name, b: request } satisfies Envelope);
   }
 
@@ -149,9 +149,9 @@
    * After a standstill of this process its timers run before what has arrived is read: answers that
    * wait in the socket are taken first.
    */
-  private timeOut(id: number): void {
+  private onTimeout(id: number): void {
     setImmediate(() => {
-      const call = this.take(id);
+      const call = this.removePending(id);
       call?.deferred.reject(
         new TimeoutError('no response in time', {
           step: call.method,
@@ -165,18 +165,18 @@
 
   /** As for time-outs, bytes that wait in the socket are read first. */
   private checkSilence(): void {
-    setImmediate(() => this.judgeSilence());
+    setImmediate(() => this.evaluateSilence());
   }
 
-  private judgeSilence(): void {
+  private evaluateSilence(): void {
     if (this.awaitingSince === undefined || !this.socket.isOpen) return;
     const silentSince = Math.max(this.awaitingSince, this.socket.lastReceivedMs);
-    const missingMs = this.silenceLimit.currentMs - (monotonicMs() - silentSince);
-    if (missingMs > 0) {
+    const remainingMs = this.silenceLimit.currentMs - (monotonicMs() - silentSince);
+    if (remainingMs > 0) {
       this.suspicionTimer ??= setTimeout(() => {
         this.suspicionTimer = undefined;
         this.checkSilence();
-      }, missingMs);
+      }, remainingMs);
       return;
     }
     // Calls whose time runs out later in the same silence say nothing new.
@@ -189,16 +189,16 @@
 
   private receive(envelope: Envelope): void {
     this.awaitingSince = undefined;
-    this.endSuspicion();
+    this.clearSuspicion();
     switch (envelope.k) {
       case 'q':
-        void this.answer(envelope.i, envelope.m, envelope.b);
+        void this.respond(envelope.i, envelope.m, envelope.b);
         break;
       case 'n':
         void this.runHandler(envelope.m, envelope.b).catch(() => undefined);
         break;
       case 'r':
-        this.takeAnswered(envelope.i)?.deferred.resolve(envelope.b);
+        this.completePending(envelope.i)?.deferred.resolve(envelope.b);
         break;
       case 'e':
         this.rejectCall(envelope.i, envelope.c, envelope.b, envelope.t);
@@ -208,14 +208,14 @@
     }
   }
 
-  private endSuspicion(): void {
+  private clearSuspicion(): void {
     if (this.suspectSince === undefined) return;
     this.silenceLimit.noteLate(monotonicMs() - this.suspectSince);
     this.suspectSince = undefined;
     this.options.onResponsive?.();
   }
 
-  private async answer(id: number, method: string, request: unknown): Promise<void> {
+  private async respond(id: number, method: string, request: unknown): Promise<void> {
     try {
       const response = await this.runHandler(method, request);
       this.socket.send({ k: 'r', i: id, b: response } satisfies Envelope);
@@ -235,13 +235,13 @@
     return handler(request, { peerName: this.peerName });
   }
 
-  private takeAnswered(id: number): PendingCall | undefined {
-    const call = this.take(id);
-    if (call && monotonicMs() <= call.inTimeUntil) this.silenceLimit.reset();
+  private completePending(id: number): PendingCall | undefined {
+    const call = this.removePending(id);
+    if (call && monotonicMs() <= call.responseDueAt) this.silenceLimit.reset();
     return call;
   }
 
-  private take(id: number): PendingCall | undefined {
+  private removePending(id: number): PendingCall | undefined {
     const call = this.pending.get(id);
     if (!call) return undefined;
     this.pending.delete(id);
@@ -251,7 +251,7 @@
   }
 
   private rejectCall(id: number, code: string, message: string, retriable: boolean): void {
-    const call = this.takeAnswered(id);
+    const call = this.completePending(id);
     call?.deferred.reject(
       new RemoteError(message, code, { step: call.method, peer: this.peerName, retriable }),
     );
@@ -260,7 +260,7 @@
   private failPending(): void {
     clearTimeout(this.suspicionTimer);
     for (const id of [...this.pending.keys()]) {
-      const call = this.take(id);
+      const call = this.removePending(id);
       call?.deferred.reject(this.linkError(call.method));
     }
   }
--- a/src/wire/rpc-server.ts
+++ b/src/wire/rpc-server.ts
@@ -83,11 +83,11 @@
 async function acceptHandshake(framed: FramedSocket, secret: string): Promise<string> {
   const nonce = createNonce();
   framed.send({ nonce } satisfies ServerChallenge);
-  const answer = await framed.readOne<ClientProof>('wire.authenticate', HANDSHAKE_TIMEOUT_MS);
-  const expected = clientProof(secret, nonce, String(answer.nonce), String(answer.name));
-  if (!proofsMatch(expected, String(answer.proof))) {
+  const response = await framed.readFrame<ClientProof>('wire.authenticate', HANDSHAKE_TIMEOUT_MS);
+  const expected = clientProof(secret, nonce, String(response.nonce), String(response.name));
+  if (!proofsMatch(expected, String(response.proof))) {
     throw new AuthenticationError('wrong proof', { step: 'wire.authenticate', peer: framed.peer });
   }
-  framed.send({ proof: serverProof(secret, nonce, answer.nonce) } satisfies ServerProof);
-  return answer.name;
+  framed.send({ proof: serverProof(secret, nonce, response.nonce) } satisfies ServerProof);
+  return response.name;
 }
--- a/src/wire/wire.test.ts
+++ b/src/wire/wire.test.ts
@@ -13,10 +13,10 @@
 const ECHO = defineMethod<{ text: string }, { text: string; from: string }>('test.echo');
 const FAIL = defineMethod<object, object>('test.fail');
 const HANG = defineMethod<object, object>('test.hang');
-const STALL_AFTER_ANSWER = defineMethod<object, object>('test.stall-after-answer');
+const STALL_AFTER_RESPONSE = defineMethod<object, object>('test.stall-after-answer');
 const UNKNOWN = defineMethod<object, object>('test.unknown');
 /** More microtasks than lie between a handler's end and the writing of its answer. */
-const ANSWER_STEPS = 20;
+const RESPONSE_MICROTASKS = 20;
 const LIMITS = { timeoutMs: 2_000 };
 
 const closing: (() => void)[] = [];
@@ -25,21 +25,21 @@
 });
 
 /** Keeps the event loop from running. */
-function standStill(forMs: number): void {
+function blockEventLoop(forMs: number): void {
   const until = performance.now() + forMs;
   while (performance.now() < until);
 }
 
 /** Calls `action` in the turn of the event loop in which the handler's answer is written. */
-async function afterAnswer(action: () => void): Promise<void> {
-  for (let step = 0; step < ANSWER_STEPS; step += 1) await Promise.resolve();
+async function afterResponse(action: () => void): Promise<void> {
+  for (let step = 0; step < RESPONSE_MICROTASKS; step += 1) await Promise.resolve();
   setImmediate(action);
 }
 
 async function startServer(onDisconnect?: (name: string) => void): Promise<RpcServer> {
   const router = new MethodRouter();
-  router.handle(STALL_AFTER_ANSWER, () => {
-    void afterAnswer(() => standStill(600));
+  router.handle(STALL_AFTER_RESPONSE, () => {
+    void afterResponse(() => blockEventLoop(600));
     return {};
   });
   router.handle(ECHO, ({ text }, { peerName }) => ({ text, from: peerName }));
@@ -63,8 +63,8 @@
   it('carries requests and tells the handler who asks', async () => {
     const link = linkTo(await startServer());
     expect(await link.waitConnected(5_000)).toBe(true);
-    const answer = await link.call(ECHO, { text: 'hello' }, LIMITS);
-    expect(answer).toEqual({ text: 'hello', from: 'client' });
+    const response = await link.call(ECHO, { text: 'hello' }, LIMITS);
+    expect(response).toEqual({ text: 'hello', from: 'client' });
   });
 
   it('is not made with a wrong secret', async () => {
@@ -142,27 +142,27 @@
    * What settled it: the call below failed and the server was told that its client had left.
    */
   it('keeps a connection whose answer waits to be read when this process stood still', async () => {
-    const left: string[] = [];
-    const server = await startServer((name) => left.push(name));
+    const disconnected: string[] = [];
+    const server = await startServer((name) => disconnected.push(name));
     const link = linkTo(server);
     await link.waitConnected(5_000);
-    const answered = link.call(STALL_AFTER_ANSWER, {}, { timeoutMs: 300 });
+    const answered = link.call(STALL_AFTER_RESPONSE, {}, { timeoutMs: 300 });
     await expect(answered).resolves.toEqual({});
     await sleep(100);
-    expect(left).toEqual([]);
+    expect(disconnected).toEqual([]);
   });
 
   it('tells the server who has left', async () => {
-    const left: string[] = [];
-    const onDisconnect = (name: string): void => void left.push(name);
+    const disconnected: string[] = [];
+    const onDisconnect = (name: string): void => void disconnected.push(name);
     const options = { host: HOST, port: 0, secret: SECRET, router: new MethodRouter() };
     const server = await RpcServer.start({ ...options, onDisconnect });
     closing.push(() => server.close());
     const link = linkTo(server);
     await link.waitConnected(5_000);
     link.close();
-    await waitUntil('told', () => left.length > 0);
-    expect(left).toEqual(['client']);
+    await waitUntil('told', () => disconnected.length > 0);
+    expect(disconnected).toEqual(['client']);
   });
 
   /**
@@ -172,17 +172,17 @@
    * What settled it: two connections of one name, of which one closed.
    */
   it('tells the server only when the last connection of a peer has closed', async () => {
-    const left: string[] = [];
-    const server = await startServer((name) => left.push(name));
+    const disconnected: string[] = [];
+    const server = await startServer((name) => disconnected.push(name));
     const [first, second] = [linkTo(server), linkTo(server)];
     await first.waitConnected(5_000);
     await second.waitConnected(5_000);
     await second.call(ECHO, { text: '' }, LIMITS);
     first.close();
     await sleep(100);
-    expect(left).toEqual([]);
+    expect(disconnected).toEqual([]);
     second.close();
-    await waitUntil('told', () => left.length === 1);
+    await waitUntil('told', () => disconnected.length === 1);
   });
 
   it('comes back when the peer does', async () => {
