--- a/src/wire/adaptive-timeout.ts
+++ b/src/wire/adaptive-timeout.ts
@@ -1,15 +1,15 @@
 /**
- * A time limit that follows how late a peer is. A fixed one is worth nothing against a peer that is
- * late by more: every answer comes after it, and each try in vain makes the peer later still.
+ * A timeout that adapts to the delay of a peer. With a fixed one, every response of a slower peer
+ * would arrive too late, and each retry would slow the peer down further.
  */
 export interface AdaptiveTimeoutOptions {
-  /** The limit while the peer answers in time, in milliseconds. */
+  /** Timeout while the peer responds in time, in milliseconds. */
   baseMs: number;
-  /** The limit never grows beyond this, in milliseconds. */
+  /** Upper bound of the timeout, in milliseconds. */
   maximumMs: number;
 }
 
-/** How much later than the one before an answer may come, as a factor. */
+/** Factor by which the timeout exceeds the last late response. */
 const LATENESS_MARGIN = 1.25;
 
 export class AdaptiveTimeout {
@@ -23,18 +23,18 @@
     return this.limitMs;
   }
 
-  /** The limit ran out: the next one is twice as long. */
+  /** Doubles the timeout after it expired. */
   noteExpired(): void {
     this.limitMs = Math.min(this.options.maximumMs, this.limitMs * 2);
   }
 
-  /** The peer did answer, that late: the next limit lets an answer that is a little later still through. */
+  /** Extends the timeout after a late response. */
   noteLate(afterMs: number): void {
     const enoughMs = Math.max(this.limitMs, afterMs * LATENESS_MARGIN);
     this.limitMs = Math.min(this.options.maximumMs, enoughMs);
   }
 
-  /** The peer answered in time. */
+  /** Resets the timeout after a response in time. */
   reset(): void {
     this.limitMs = this.options.baseMs;
   }
--- a/src/wire/authentication.ts
+++ b/src/wire/authentication.ts
@@ -1,6 +1,6 @@
 /**
- * Mutual authentication by a shared secret. Each side sends a random nonce; each proves knowledge
- * of the secret by an HMAC over both nonces. The secret itself never crosses the wire.
+ * Mutual authentication with a shared secret. Each side sends a random nonce and proves knowledge
+ * of the secret with an HMAC over both nonces. The secret itself is never sent.
  */
 import { createHmac, randomBytes, timingSafeEqual } from 'node:crypto';
 
@@ -24,7 +24,7 @@
   return randomBytes(NONCE_BYTES).toString('hex');
 }
 
-/** The proof a client sends: binds its name and both nonces. */
+/** The client's proof, which covers its name and both nonces. */
 export function clientProof(
   secret: string,
   serverNonce: string,
@@ -36,7 +36,6 @@
     .digest('hex');
 }
 
-/** The proof a server sends back. */
 export function serverProof(secret: string, serverNonce: string, clientNonce: string): string {
   return createHmac('sha256', secret).update(`server|${clientNonce}|${serverNonce}`).digest('hex');
 }
--- a/src/wire/connection-race.ts
+++ b/src/wire/connection-race.ts
@@ -1,29 +1,34 @@
 /**
- * Opens one connection by tries that overlap. A try that meets silence is left to itself, and does not
- * hold up the next one: what lets the peer speak again may have come after it. The first whose peer
- * proves itself wins, and the others are given up.
+ * Establishes one connection by staggered, overlapping attempts. An unresponsive attempt does not
+ * delay the next one, because the peer may have recovered since. The first authenticated connection
+ * wins, and the other attempts are aborted.
  */
 import { Deferred, TimeoutError, monotonicMs, sleep } from '../common/index.js';
 import type { RpcConnection } from './rpc-connection.js';
 
-/** From one try to the next one while all meet silence, in milliseconds; part of several budgets. */
+/** Delay between attempts while the peer does not respond. Part of several time budgets. */
 export const CONNECTION_ATTEMPT_DELAY_MS = 400;
 /**
- * Tries at a peer whose answers came late keep this share of its limit of silence apart. At a pace of
- * 400 ms one that is late by 2 s was given 18 handshakes in 10 s.
+ * For slow peers, the delay between attempts is this fraction of the silence limit, which bounds
+ * the number of handshakes.
  */
 export const ATTEMPT_DELAY_PER_SILENCE_LIMIT = 0.5;
-/** A pause is this share of its bound at least: all peers of a process that comes back have tried in vain. */
+/**
+ * Delays are randomized between this fraction and the full delay, so that the peers of a restarted
+ * process do not reconnect at the same time.
+ */
 const MIN_DELAY_FRACTION = 0.75;
-/** Tries come no faster than in proportion to the silence: a long one leaves few connections to clear up. */
+/**
+ * The delay grows with the time without a response, which limits the number of open connections.
+ */
 const DELAY_PER_SILENCE = 0.25;
 const MAX_ATTEMPT_DELAY_MS = 1_600;
 
-/** One try to connect and to prove both sides. */
+/** One attempt to connect and authenticate. */
 export interface ConnectionAttempt {
-  /** The connection is not wanted any more. */
+  /** Aborted when the connection is no longer needed. */
   signal: AbortSignal;
-  /** The peer has spoken, but has not proved itself yet. */
+  /** Called when the peer has responded, before it is authenticated. */
   onDataReceived: () => void;
 }
 
@@ -31,7 +36,7 @@
 
 export interface ConnectionRaceOptions {
   open: OpenConnection;
-  /** The silence after which the peer's connections are suspect at present, in milliseconds. */
+  /** Current silence limit of the peer, in milliseconds. */
   silenceLimitMs: () => number;
 }
 
@@ -47,14 +52,14 @@
   }
 
   /**
-   * The connection, or nothing once the race has been stopped.
-   * @throws what the last open try failed with, unless that was silence
+   * The established connection, or undefined if the race was stopped.
+   * @throws the error of the last pending attempt, unless it is a timeout
    */
   get winner(): Promise<RpcConnection | undefined> {
     return this.result.promise;
   }
 
-  /** Gives up all tries, and a connection that has won. */
+  /** Aborts all attempts, and closes a connection that has been established. */
   stop(): void {
     this.ended.abort();
     this.result.resolve(undefined);
@@ -107,14 +112,17 @@
     this.ended.abort();
   }
 
-  /** The peer of another try may only be late; silence says no more than that there is no answer yet. */
+  /**
+   * Other pending attempts may still succeed, and a timeout only means that the peer is slow so
+   * far.
+   */
   private fail(error: unknown): void {
     if (error instanceof TimeoutError || this.pendingAttempts > 0) return;
     this.result.reject(error);
     this.ended.abort();
   }
 
-  /** A peer that is only late gets no more handshakes to do while one of them is on its way. */
+  /** Delays the next attempt while the handshake with a slow peer is in progress. */
   private noteDataReceived(startedAt: number): void {
     const now = monotonicMs();
     this.nextAttemptAt = Math.max(this.nextAttemptAt, now + (now - startedAt) + this.minDelayMs);
--- a/src/wire/errors.ts
+++ b/src/wire/errors.ts
@@ -1,15 +1,18 @@
 import { LedgegaugeError } from '../common/index.js';
 
-/** The link to a peer is down, was cut, or could not be made. The request may or may not have run. */
+/**
+ * The link to a peer is down, failed, or could not be established. The request may have been
+ * executed.
+ */
 export class LinkError extends LedgegaugeError {}
 
-/** The peer did not prove that it knows the shared secret. */
+/** The peer failed to prove knowledge of the shared secret. */
 export class AuthenticationError extends LedgegaugeError {}
 
-/** The peer sent bytes that are not frames of this protocol. */
+/** The peer sent data that is not a valid frame. */
 export class FrameError extends LedgegaugeError {}
 
-/** The peer's handler failed; `code` is the name of its error class. */
+/** The peer's handler failed. `code` is the class name of its error. */
 export class RemoteError extends LedgegaugeError {
   constructor(
     message: string,
--- a/src/wire/frame-codec.ts
+++ b/src/wire/frame-codec.ts
@@ -1,25 +1,23 @@
-/** Frames of the internal protocol: a length of 4 bytes (big endian), then a MessagePack value. */
+/** Frames of the internal protocol: a 4-byte big-endian length, then a MessagePack value. */
 import { Packr } from 'msgpackr';
 import { FrameError } from './errors.js';
 
 const LENGTH_BYTES = 4;
 
-/** The largest frame accepted, in bytes. */
+/** Maximum size of an accepted frame, in bytes. */
 export const MAX_FRAME_BYTES = 64 * 1024 * 1024;
 
 const packr = new Packr({ useRecords: false });
 
-/** Encodes one value as a MessagePack buffer. */
 export function encodeValue(value: unknown): Buffer {
   return packr.pack(value);
 }
 
-/** Decodes a MessagePack buffer. The caller names the type it agreed on with the writer. */
+/** Decodes a MessagePack buffer. The type is not checked. */
 export function decodeValue<T>(bytes: Uint8Array): T {
   return packr.unpack(bytes) as T;
 }
 
-/** Encodes one frame. */
 export function encodeFrame(value: unknown): Buffer {
   const body = packr.pack(value);
   const frame = Buffer.allocUnsafe(LENGTH_BYTES + body.length);
@@ -28,21 +26,21 @@
   return frame;
 }
 
-/** Cuts a stream of bytes into frames. */
+/** Splits a byte stream into frames. */
 export class FrameDecoder {
   private chunks: Buffer[] = [];
   private buffered = 0;
 
   constructor(private readonly peer: string) {}
 
-  /** Whether bytes of an unfinished frame were taken. */
+  /** Whether part of an incomplete frame has been received. */
   get hasPartialFrame(): boolean {
     return this.buffered > 0;
   }
 
   /**
-   * Takes the next bytes and returns the values whose frames are complete.
-   * @throws FrameError when a length is beyond the maximum or a body does not decode
+   * Adds received bytes and returns the values of completed frames.
+   * @throws FrameError if a frame exceeds the maximum size or its body is not valid
    */
   push(chunk: Buffer): unknown[] {
     this.chunks.push(chunk);
@@ -52,7 +50,8 @@
     const values: unknown[] = [];
     while (bytes.length >= LENGTH_BYTES) {
       const length = bytes.readUInt32BE(0);
-      if (length > MAX_FRAME_BYTES) throw this.error(`frame of ${length} bytes is too long`);
+      if (length > MAX_FRAME_BYTES)
+        throw this.error(`frame of ${length} bytes exceeds the maximum size`);
       const end = LENGTH_BYTES + length;
       if (bytes.length < end) break;
       values.push(this.decode(bytes.subarray(LENGTH_BYTES, end)));
@@ -67,7 +66,7 @@
     try {
       return packr.unpack(body);
     } catch (cause) {
-      throw this.error('frame body does not decode', cause);
+      throw this.error('frame body is not valid MessagePack', cause);
     }
   }
 
@@ -76,12 +75,12 @@
   }
 }
 
-/** Decodes frames that stand behind one another. @throws FrameError when the last one is cut off */
+/** Decodes concatenated frames. @throws FrameError if the last one is truncated */
 export function decodeFrames(bytes: Uint8Array): unknown[] {
   const decoder = new FrameDecoder('stored frames');
   const values = decoder.push(Buffer.from(bytes.buffer, bytes.byteOffset, bytes.length));
   if (decoder.hasPartialFrame) {
-    throw new FrameError('the last frame is cut off', { step: 'wire.decode' });
+    throw new FrameError('last frame is truncated', { step: 'wire.decode' });
   }
   return values;
 }
--- a/src/wire/framed-socket.ts
+++ b/src/wire/framed-socket.ts
@@ -1,11 +1,11 @@
-/** A TCP socket that carries frames; frames written in one turn of the event loop go out together. */
+/** A TCP socket for frames. Frames sent in one turn of the event loop are written together. */
 import type { Socket } from 'node:net';
 import { Deferred, TimeoutError, monotonicMs } from '../common/index.js';
 import { LinkError } from './errors.js';
 import { FrameDecoder, encodeFrame } from './frame-codec.js';
 
 export class FramedSocket {
-  /** Bytes received and sent since the socket was made. */
+  /** Bytes received and sent by this socket. */
   readonly traffic = { received: 0, sent: 0 };
   private readonly decoder: FrameDecoder;
   private readonly unreadFrames: unknown[] = [];
@@ -26,7 +26,7 @@
     socket.on('close', () => this.onClose());
   }
 
-  /** Resolves when the socket has closed, for whatever reason. */
+  /** Resolves when the socket has closed for any reason. */
   get closed(): Promise<void> {
     return this.closedEvent.promise;
   }
@@ -35,12 +35,12 @@
     return !this.socket.destroyed;
   }
 
-  /** Monotonic time of the last bytes received, in milliseconds. */
+  /** Time when data was last received (monotonic, milliseconds). */
   get lastReceivedMs(): number {
     return this.lastReceived;
   }
 
-  /** Bytes that were sent and have not left this process yet. */
+  /** Bytes that are buffered and not yet sent. */
   get bufferedBytes(): number {
     return this.socket.writableLength;
   }
@@ -60,7 +60,7 @@
     this.socket.write(frame);
   }
 
-  /** Hands every frame, also those already received, to `listener` from now on. */
+  /** Passes all frames to `listener`, including those already received. */
   listen(listener: (value: unknown) => void): void {
     this.listener = listener;
     for (const value of this.unreadFrames.splice(0)) listener(value);
@@ -69,13 +69,13 @@
   /**
    * Reads the next frame before a listener is set.
    * @throws TimeoutError after `timeoutMs`
-   * @throws LinkError when the socket closes first
+   * @throws LinkError if the socket closes first
    */
   async readFrame<T>(step: string, timeoutMs: number): Promise<T> {
     if (this.unreadFrames.length > 0) return this.unreadFrames.shift() as T;
     const waiting = new Deferred<unknown>();
     this.pendingRead = waiting;
-    // After a standstill timers run before what has arrived is read: that is read first.
+    // After a stall of the process, timers run before sockets are read: read pending data first.
     const timer = setTimeout(() => {
       setImmediate(() => waiting.reject(this.timeoutError(step)));
     }, timeoutMs);
@@ -92,7 +92,11 @@
   }
 
   private timeoutError(step: string): TimeoutError {
-    return new TimeoutError('no answer', { step, peer: this.peer, retriable: true });
+    return new TimeoutError('no handshake message in time', {
+      step,
+      peer: this.peer,
+      retriable: true,
+    });
   }
 
   private receive(chunk: Buffer): void {
--- a/src/wire/half-open.test.ts
+++ b/src/wire/half-open.test.ts
@@ -1,8 +1,6 @@
 /**
- * A leader's connection went silent for good and was replaced; later the leader died, and its follower was
- * not told. The accepting side never hears of the end of a connection that is silent both ways, and
- * counted it as a sign that the peer was still there: an election that could begin 130 ms after the loss of
- * the leader's connection waited for the time-out of its heartbeats.
+ * Regression test: a half-open connection that had been replaced still counted as connected on the
+ * server, so the disconnect of its peer was not reported and an election was delayed.
  */
 import { expect, it, onTestFinished } from 'vitest';
 import { SilencingRelay } from '../../tests/support/silencing-relay.js';
@@ -19,7 +17,7 @@
 const LIMITS = { timeoutMs: 2_000, silenceMs: 300 };
 const REPORTED_WITHIN_MS = 500;
 
-it('tells the server that a peer has left though one of its connections went silent before', async () => {
+it('reports a disconnected peer despite an earlier half-open connection', async () => {
   const router = new MethodRouter();
   router.handle(ECHO, ({ text }) => ({ text }));
   const disconnected: string[] = [];
@@ -40,6 +38,6 @@
   expect(disconnected).toEqual([]);
 
   link.close();
-  await waitUntil('told', () => disconnected.length > 0, REPORTED_WITHIN_MS);
+  await waitUntil('disconnect reported', () => disconnected.length > 0, REPORTED_WITHIN_MS);
   expect(disconnected).toEqual(['leader']);
 });
--- a/src/wire/index.ts
+++ b/src/wire/index.ts
@@ -1,4 +1,4 @@
-/** The internal protocol: authenticated, framed, typed requests between the system's processes. */
+/** The internal protocol: authenticated, framed, typed requests between processes. */
 export * from './errors.js';
 export {
   decodeFrames,
--- a/src/wire/method.ts
+++ b/src/wire/method.ts
@@ -1,8 +1,8 @@
-/** Typed remote procedures: a method's name together with its request and response types. */
+/** Typed remote procedures: a method name with its request and response types. */
 
 export interface Method<Request, Response> {
   readonly name: string;
-  /** Only for the type checker; never set. */
+  /** Type information only; never set at run time. */
   readonly types?: { request: Request; response: Response };
 }
 
@@ -10,9 +10,9 @@
   return { name };
 }
 
-/** What a handler knows about the request's sender. */
+/** Information about the sender of a request. */
 export interface CallContext {
-  /** The name that the sender gave and proved with the shared secret. */
+  /** Authenticated name of the sender. */
   peerName: string;
 }
 
@@ -21,7 +21,6 @@
   context: CallContext,
 ) => Promise<Response> | Response;
 
-/** Maps method names to handlers. */
 export class MethodRouter {
   private readonly handlers = new Map<string, Handler<unknown, unknown>>();
 
--- a/src/wire/peer-link.ts
+++ b/src/wire/peer-link.ts
@@ -1,11 +1,11 @@
 /**
- * A lasting link to one peer: one task connects, authenticates, waits for the connection to close
- * and connects again with backoff. Requests fail at once while the link is down.
+ * A persistent link to one peer: connects, authenticates, and reconnects with backoff after the
+ * connection has closed. Requests fail immediately while the link is down.
  *
- * A connection that met silence is kept until another one has proved better: closing it for the
- * silence of a peer that is only late loses its answers and gives it a handshake to do for each. Others
- * are tried for as long as it stays silent; once one has taken its place, its calls fail and may be made
- * again.
+ * A suspect connection is kept until a replacement is established: closing it would lose the
+ * responses of a peer that is only slow, and cost it another handshake. Reconnection attempts
+ * continue while the peer is silent. When a replacement is established, pending calls on the old
+ * connection fail and may be retried.
  */
 import { connect, type Socket } from 'node:net';
 import { Backoff, SignalEvent, sleep } from '../common/index.js';
@@ -25,23 +25,22 @@
 import { type CallOptions, RpcConnection, createSilenceLimit } from './rpc-connection.js';
 
 /**
- * A machine without power answers nothing, and the system repeats an unanswered opening packet only
- * after a second; a fresh try finds a machine that came back much sooner.
+ * Short, because the operating system retransmits an unanswered SYN only after a second; a new
+ * attempt finds a restarted machine sooner.
  */
 export const CONNECT_TIMEOUT_MS = 200;
 /**
- * A peer that takes connections, but is late, is heard however late it is: other tries begin beside this
- * one, so that it holds up nothing.
+ * Long enough for slow peers. Further attempts start in parallel, so a pending one delays nothing.
  */
 const HANDSHAKE_STEP_TIMEOUT_MS = 3_200;
-/** A leader that lives is back, and has sent a heartbeat, before its followers begin an election. */
+/** Short enough for a running leader to reconnect and send a heartbeat before an election. */
 export const INITIAL_RECONNECT_DELAY_MS = 20;
 export const MAXIMUM_RECONNECT_DELAY_MS = 100;
 
 export interface PeerLinkOptions {
   /** `host:port` to connect to. */
   address: string;
-  /** The name this process gives to the peer. */
+  /** Name of this process, sent to the peer. */
   ownName: string;
   secret: string;
   /** Methods that the peer may call over this link. @default none */
@@ -50,7 +49,7 @@
 
 export class PeerLink {
   private connection: RpcConnection | undefined;
-  /** Opens the connection that comes next, from when the one before is suspect or has closed. */
+  /** Establishes the next connection while the current one is suspect or closed. */
   private race: ConnectionRace | undefined;
   private readonly silenceLimit = createSilenceLimit();
   private readonly stopping = new AbortController();
@@ -65,12 +64,12 @@
     return this.options.address;
   }
 
-  /** Whether there is a connection, and its peer is not overdue. */
+  /** Whether there is a connection that is not suspect. */
   get isConnected(): boolean {
     return this.connection !== undefined && this.connection.isOpen && !this.connection.isSuspect;
   }
 
-  /** Bytes over all connections of this link so far. */
+  /** Bytes sent and received over all connections of this link. */
   get totalTraffic(): { received: number; sent: number } {
     const current = this.connection?.traffic ?? { received: 0, sent: 0 };
     return {
@@ -79,7 +78,7 @@
     };
   }
 
-  /** Sends a request over the current connection; see RpcConnection.call for the errors. */
+  /** Sends a request over the current connection. See `RpcConnection.call` for the errors. */
   call<Request, Response>(
     method: Method<Request, Response>,
     request: Request,
@@ -93,7 +92,7 @@
     this.connection?.notify(method, request);
   }
 
-  /** Resolves with whether the link is up, waiting at most `timeoutMs` for it. */
+  /** Waits up to `timeoutMs` for the link and resolves with whether it is up. */
   async waitConnected(timeoutMs: number): Promise<boolean> {
     if (!this.isConnected) await this.connected.waitWithTimeout(timeoutMs);
     return this.isConnected;
@@ -119,14 +118,14 @@
         await this.useUntilClosed(connection);
         if (this.race) continue;
       } catch {
-        // The wait below covers every cause; callers see LinkError meanwhile.
+        // Any failure is retried after the delay below; callers get a LinkError meanwhile.
         this.race = undefined;
       }
       await sleep(backoff.nextDelayMs(), this.stopping.signal);
     }
   }
 
-  /** Resolves when the connection has closed. */
+  /** Uses a connection until it has closed. */
   private async useUntilClosed(connection: RpcConnection): Promise<void> {
     this.connection = connection;
     this.connected.notify();
@@ -136,7 +135,7 @@
     this.connection = undefined;
   }
 
-  /** The race for the next connection, which may be on already. */
+  /** Returns the race for the next connection, started if necessary. */
   private startRace(): ConnectionRace {
     this.race ??= new ConnectionRace({
       open: (attempt) => this.open(attempt),
@@ -151,12 +150,12 @@
       const replacement = await this.startRace().winner;
       if (replacement) suspect.close();
     } catch {
-      // Late in the handshake says no more than the silence did; a machine that can't be reached does.
+      // A timeout in the handshake gives no new information, but an unreachable machine does.
       suspect.close();
     }
   }
 
-  /** The suspect connection speaks again: its peer was only late. */
+  /** Stops the race when the suspect connection is responsive again. */
   private keepResponsive(connection: RpcConnection): void {
     if (connection !== this.connection) return;
     this.race?.stop();
@@ -203,7 +202,10 @@
     framed.send({ name: ownName, nonce, proof });
     const response = await framed.readFrame<ServerProof>(step, HANDSHAKE_STEP_TIMEOUT_MS);
     if (!proofsMatch(serverProof(secret, challenge.nonce, nonce), String(response.proof))) {
-      throw new AuthenticationError('wrong proof', { step, peer: framed.peer });
+      throw new AuthenticationError('peer failed authentication: wrong proof', {
+        step,
+        peer: framed.peer,
+      });
     }
   }
 
@@ -212,7 +214,6 @@
   }
 }
 
-/** Splits `host:port`. */
 export function parseAddress(address: string): { host: string; port: number } {
   const colon = address.lastIndexOf(':');
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
--- a/src/wire/rpc-connection.ts
+++ b/src/wire/rpc-connection.ts
@@ -1,11 +1,11 @@
-/** Requests, responses and one-way notices over one framed socket, in both directions. */
+/** Requests, responses and one-way notifications in both directions over a framed socket. */
 import { Deferred, LedgegaugeError, TimeoutError, monotonicMs } from '../common/index.js';
 import { AdaptiveTimeout } from './adaptive-timeout.js';
 import { LinkError, RemoteError } from './errors.js';
 import type { FramedSocket } from './framed-socket.js';
 import type { Method, MethodRouter } from './method.js';
 
-/** Envelope kinds, kept to one character for size on the wire. */
+/** Single-character kinds and keys keep messages small. */
 type Envelope =
   | { k: 'q'; i: number; m: string; b: unknown }
   | { k: 'r'; i: number; b: unknown }
@@ -17,42 +17,41 @@
   timer: NodeJS.Timeout;
   silenceTimer: NodeJS.Timeout | undefined;
   method: string;
-  /** An answer until then is no sign of a late peer (monotonic, milliseconds). */
+  /** A response until then is in time (monotonic, milliseconds). */
   responseDueAt: number;
 }
 
-/** A shorter silence after the first unanswered request says nothing about the connection. */
+/** Minimum silence limit. Shorter silences after a request do not indicate a failure. */
 export const SUSPECT_AFTER_SILENCE_MS = 250;
 /**
- * The limit for a peer whose answers have come late, in milliseconds. A lost connection is noticed no
- * later, which the time of a drain leaves room for; a peer that is later still is given a handshake to
- * do beside each question.
+ * Maximum silence limit, for slow peers. Bounds the time to detect a lost connection, which
+ * shutdown timeouts rely on.
  */
 export const MAX_SILENCE_LIMIT_MS = 1_500;
 
-/** Bytes that may wait for a peer before notices to it are dropped: some large ones. */
+/** Notifications are dropped while more than this many bytes are queued for a peer. */
 const MAX_BUFFERED_NOTIFICATION_BYTES = 256 * 1024;
 
 export interface CallOptions {
-  /** How long to wait for the response, in milliseconds. */
+  /** Timeout of the response, in milliseconds. */
   timeoutMs: number;
   /**
-   * After this time without a byte from the peer the connection is suspect, in milliseconds. The call
-   * itself goes on. @default timeoutMs
+   * Time without data from the peer after which the connection is suspect, in milliseconds. The
+   * call continues. @default timeoutMs
    */
   silenceMs?: number;
 }
 
 export interface RpcConnectionOptions {
-  /** Called when requests have met silence for long; the peer may be gone, or late. @default closes */
+  /** Called when a request reached the silence limit. @default closes the connection */
   onSuspect?: () => void;
-  /** Called when a suspect connection speaks again. @default nothing */
+  /** Called when a suspect connection is responsive again. @default nothing */
   onResponsive?: () => void;
-  /** How long a silence has to be, shared by the connections to one peer. @default its own */
+  /** Silence limit shared by all connections to one peer. @default a separate limit */
   silenceLimit?: AdaptiveTimeout;
 }
 
-/** The limit of silence for one peer. */
+/** Creates the silence limit for one peer. */
 export function createSilenceLimit(): AdaptiveTimeout {
   return new AdaptiveTimeout({
     baseMs: SUSPECT_AFTER_SILENCE_MS,
@@ -63,10 +62,10 @@
 export class RpcConnection {
   private nextId = 1;
   private readonly pending = new Map<number, PendingCall>();
-  /** When the first request went out after the last whole message (monotonic, milliseconds). */
+  /** Send time of the first request after the last received message (monotonic, milliseconds). */
   private awaitingSince: number | undefined;
   private suspicionTimer: NodeJS.Timeout | undefined;
-  /** Since when the peer has been silent (monotonic, milliseconds), while the connection is suspect. */
+  /** Start of the silence while the connection is suspect (monotonic, milliseconds). */
   private suspectSince: number | undefined;
   private readonly silenceLimit: AdaptiveTimeout;
 
@@ -89,12 +88,14 @@
     return this.socket.isOpen;
   }
 
-  /** Whether requests have met silence for long; the next whole message ends the suspicion. */
+  /**
+   * Whether requests have reached the silence limit. The next complete message clears the state.
+   */
   get isSuspect(): boolean {
     return this.suspectSince !== undefined;
   }
 
-  /** Time since the last bytes from the peer, in milliseconds. */
+  /** Time since data was last received, in milliseconds. */
   get silentMs(): number {
     return monotonicMs() - this.socket.lastReceivedMs;
   }
@@ -105,9 +106,9 @@
 
   /**
    * Sends a request and waits for its response.
-   * @throws TimeoutError when no response came in time; the request may have run
-   * @throws LinkError when the connection closed first; the request may have run
-   * @throws RemoteError when the peer's handler failed
+   * @throws TimeoutError if there is no response in time; the request may have been executed
+   * @throws LinkError if the connection closes first; the request may have been executed
+   * @throws RemoteError if the peer's handler failed
    */
   call<Request, Response>(
     method: Method<Request, Response>,
@@ -133,8 +134,8 @@
   }
 
   /**
-   * Sends a notice; nothing tells whether it arrived. A peer that is behind gets none: they would wait in
-   * memory for as long as it is, and notices are worth little when they are late.
+   * Sends a notification. Delivery is not confirmed, and notifications to a slow peer are dropped
+   * to limit buffering.
    */
   notify<Request>(method: Method<Request, void>, request: Request): void {
     if (this.isSuspect || this.socket.bufferedBytes > MAX_BUFFERED_NOTIFICATION_BYTES) return;
@@ -146,8 +147,8 @@
   }
 
   /**
-   * After a standstill of this process its timers run before what has arrived is read: answers that
-   * wait in the socket are taken first.
+   * After a stall of the process, timers run before sockets are read. The check is deferred so that
+   * received responses are processed first.
    */
   private onTimeout(id: number): void {
     setImmediate(() => {
@@ -163,7 +164,7 @@
     this.checkSilence();
   }
 
-  /** As for time-outs, bytes that wait in the socket are read first. */
+  /** Deferred for the same reason as in `onTimeout`. */
   private checkSilence(): void {
     setImmediate(() => this.evaluateSilence());
   }
@@ -179,7 +180,7 @@
       }, remainingMs);
       return;
     }
-    // Calls whose time runs out later in the same silence say nothing new.
+    // Later timeouts during the same silence are not counted again.
     if (this.isSuspect) return;
     this.suspectSince = silentSince;
     this.silenceLimit.noteExpired();
--- a/src/wire/rpc-server.ts
+++ b/src/wire/rpc-server.ts
@@ -1,4 +1,4 @@
-/** Accepts authenticated connections and serves the router's methods on them. */
+/** Accepts authenticated connections and serves the methods of a router. */
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import { AuthenticationError } from './errors.js';
 import {
@@ -18,13 +18,13 @@
 
 export interface RpcServerOptions {
   host: string;
-  /** 0 lets the system choose. */
+  /** 0 to let the operating system choose. */
   port: number;
   secret: string;
   router: MethodRouter;
   /**
-   * Called when the last connection on which a peer has spoken lately has closed: one that was replaced
-   * says nothing about the peer, and a leader that is taken for gone costs an election. @default nothing
+   * Called when the last active connection of a peer has closed. A replaced connection is not
+   * reported, since a false report for a leader would cause an election. @default nothing
    */
   onDisconnect?: (peerName: string) => void;
 }
@@ -57,7 +57,7 @@
     for (const connection of this.connections) connection.close();
   }
 
-  /** A connection whose end was lost on the way stays here: a silent one is no sign of its peer. */
+  /** Half-open connections remain in the set, so silent ones are not counted. */
   private isConnected(peerName: string): boolean {
     return [...this.connections].some(
       (connection) =>
@@ -86,7 +86,10 @@
   const response = await framed.readFrame<ClientProof>('wire.authenticate', HANDSHAKE_TIMEOUT_MS);
   const expected = clientProof(secret, nonce, String(response.nonce), String(response.name));
   if (!proofsMatch(expected, String(response.proof))) {
-    throw new AuthenticationError('wrong proof', { step: 'wire.authenticate', peer: framed.peer });
+    throw new AuthenticationError('peer failed authentication: wrong proof', {
+      step: 'wire.authenticate',
+      peer: framed.peer,
+    });
   }
   framed.send({ proof: serverProof(secret, nonce, response.nonce) } satisfies ServerProof);
   return response.name;
--- a/src/wire/silent-peer.test.ts
+++ b/src/wire/silent-peer.test.ts
@@ -1,9 +1,6 @@
 /**
- * A process took connections and spoke on none for a moment, and the links to it stayed down or useless
- * long after it spoke again. A handshake that met silence held up the next one, and its limit doubled each
- * time: after 1.3 s of silence a link came up 2.9 s after the first try. On an open connection suspicion
- * led to one try only. And each call whose time ran out in one silence doubled the limit of silence anew,
- * from 0.25 s to 4 s, so that the next loss of the connection was noticed seconds later.
+ * Regression test for peers that stop responding for a short time: links must recover soon
+ * afterwards, and the silence limit must double only once per silence.
  */
 import { type AddressInfo, connect, createServer } from 'node:net';
 import { describe, expect, it, onTestFinished } from 'vitest';
@@ -21,7 +18,7 @@
 const HOST = '127.0.0.1';
 const ECHO = defineMethod<{ text: string }, { text: string }>('test.echo');
 const LIMITS = { timeoutMs: 2_000 };
-/** From when the peer speaks again until the link is up: the pause until the next try, and some slack. */
+/** Time to recover after the peer responds again: the delay to the next attempt, and a margin. */
 const RECOVERY_MS = 700;
 
 async function startServer(): Promise<RpcServer> {
@@ -38,7 +35,7 @@
   return link;
 }
 
-/** A link is made while new connections are silent; resolves when it is up. */
+/** Connects while new connections are silent; resolves with the time until the link is up. */
 async function connectedAfterMs(silentMs: number): Promise<number> {
   const relay = await SilencingRelay.start((await startServer()).port);
   relay.silence(silentMs);
@@ -49,15 +46,15 @@
   return performance.now() - silentSince;
 }
 
-describe('a link to a peer that is silent for a while', () => {
-  it('is up soon after the peer speaks on new connections', async () => {
+describe('a link to a temporarily unresponsive peer', () => {
+  it('is up soon after the peer responds on new connections', async () => {
     const silences = [500, 1_300, 2_000];
     const connected = await Promise.all(silences.map(connectedAfterMs));
     const late = connected.map((time, index) => Math.round(time - silences[index]!));
     expect(Math.max(...late), `after ${late.join()} ms`).toBeLessThan(RECOVERY_MS);
   });
 
-  it('fails the calls on a silent connection soon after another one works', async () => {
+  it('fails the calls on a silent connection soon after a replacement is up', async () => {
     const relay = await SilencingRelay.start((await startServer()).port);
     const link = linkTo(relay.address);
     await link.waitConnected(5_000);
@@ -73,8 +70,8 @@
   });
 });
 
-describe('the limit of silence', () => {
-  /** A connection without a handshake to a peer that serves requests. */
+describe('silence limit', () => {
+  /** Connects without a handshake to a peer that serves requests. */
   function connectTo(port: number, silenceLimit: AdaptiveTimeout): RpcConnection {
     const socket = connect({ host: HOST, port });
     onTestFinished(() => void socket.destroy());
@@ -94,7 +91,7 @@
     return (server.address() as AddressInfo).port;
   }
 
-  it('doubles once a silence, however many calls end in it, and comes down with an answer', async () => {
+  it('doubles once per silence, however many calls time out, and is reset by a response', async () => {
     const relay = await SilencingRelay.start(await startPeer());
     const relayPort = Number(relay.address.split(':')[1]);
     const silenceLimit = createSilenceLimit();
--- a/src/wire/wire.test.ts
+++ b/src/wire/wire.test.ts
@@ -15,7 +15,7 @@
 const HANG = defineMethod<object, object>('test.hang');
 const STALL_AFTER_RESPONSE = defineMethod<object, object>('test.stall-after-answer');
 const UNKNOWN = defineMethod<object, object>('test.unknown');
-/** More microtasks than lie between a handler's end and the writing of its answer. */
+/** More microtasks than between the end of a handler and the write of its response. */
 const RESPONSE_MICROTASKS = 20;
 const LIMITS = { timeoutMs: 2_000 };
 
@@ -24,13 +24,13 @@
   for (const close of closing.splice(0)) close();
 });
 
-/** Keeps the event loop from running. */
+/** Blocks the event loop. */
 function blockEventLoop(forMs: number): void {
   const until = performance.now() + forMs;
   while (performance.now() < until);
 }
 
-/** Calls `action` in the turn of the event loop in which the handler's answer is written. */
+/** Calls `action` in the event loop turn in which the handler's response is written. */
 async function afterResponse(action: () => void): Promise<void> {
   for (let step = 0; step < RESPONSE_MICROTASKS; step += 1) await Promise.resolve();
   setImmediate(action);
@@ -60,21 +60,21 @@
 }
 
 describe('a link', () => {
-  it('carries requests and tells the handler who asks', async () => {
+  it('carries requests and identifies the sender to the handler', async () => {
     const link = linkTo(await startServer());
     expect(await link.waitConnected(5_000)).toBe(true);
     const response = await link.call(ECHO, { text: 'hello' }, LIMITS);
     expect(response).toEqual({ text: 'hello', from: 'client' });
   });
 
-  it('is not made with a wrong secret', async () => {
+  it('is not established with a wrong secret', async () => {
     const server = await startServer();
     const link = linkTo(server, 'another-secret');
     expect(await link.waitConnected(300)).toBe(false);
     await expect(link.call(ECHO, { text: '' }, LIMITS)).rejects.toBeInstanceOf(LinkError);
   });
 
-  it('hands over errors with the step and the peer', async () => {
+  it('transfers errors with step and peer', async () => {
     const link = linkTo(await startServer());
     await link.waitConnected(5_000);
     const failed = link.call(FAIL, {}, LIMITS);
@@ -82,7 +82,7 @@
     await expect(link.call(UNKNOWN, {}, LIMITS)).rejects.toBeInstanceOf(RemoteError);
   });
 
-  it('gives up after the time-out while other requests go on', async () => {
+  it('times out one request while others continue', async () => {
     const link = linkTo(await startServer());
     await link.waitConnected(5_000);
     const hanging = link.call(HANG, {}, { timeoutMs: 30 });
@@ -90,7 +90,7 @@
     await expect(link.call(ECHO, { text: 'x' }, LIMITS)).resolves.toMatchObject({ text: 'x' });
   });
 
-  it('survives rubbish from strangers', async () => {
+  it('survives invalid data from unauthenticated clients', async () => {
     const server = await startServer();
     const stranger = connect({ host: HOST, port: server.port });
     const closed = new Promise((resolve) => stranger.once('close', resolve));
@@ -102,7 +102,7 @@
     expect(await link.waitConnected(5_000)).toBe(true);
   });
 
-  it('soon tries again where a connection was taken but nobody speaks', async () => {
+  it('retries soon after a connection was accepted without a handshake', async () => {
     const server = await startServer();
     let taken = 0;
     const front = createServer((socket) => {
@@ -123,7 +123,7 @@
     expect(await link.waitConnected(1_500)).toBe(true);
   });
 
-  it('gives a connection up on which short calls have met silence for long enough', async () => {
+  it('replaces a connection after calls with short timeouts met a long silence', async () => {
     const link = linkTo(await startServer());
     await link.waitConnected(5_000);
     const onOldConnection = link.call(HANG, {}, { timeoutMs: 30_000 });
@@ -136,12 +136,10 @@
   });
 
   /**
-   * Symptom: a leader that stood still for half a second lost its followers, who began an election.
-   * Cause: after a standstill timers run before sockets are read; the time-out of a call whose answer
-   * had arrived closed the connection for its silence.
-   * What settled it: the call below failed and the server was told that its client had left.
+   * Regression test: after a stall of the process, a call timeout ran before the received response
+   * was read, and the connection was closed as silent.
    */
-  it('keeps a connection whose answer waits to be read when this process stood still', async () => {
+  it('keeps a connection with an unread response after the process stalled', async () => {
     const disconnected: string[] = [];
     const server = await startServer((name) => disconnected.push(name));
     const link = linkTo(server);
@@ -152,7 +150,7 @@
     expect(disconnected).toEqual([]);
   });
 
-  it('tells the server who has left', async () => {
+  it('reports disconnected peers on the server', async () => {
     const disconnected: string[] = [];
     const onDisconnect = (name: string): void => void disconnected.push(name);
     const options = { host: HOST, port: 0, secret: SECRET, router: new MethodRouter() };
@@ -161,17 +159,15 @@
     const link = linkTo(server);
     await link.waitConnected(5_000);
     link.close();
-    await waitUntil('told', () => disconnected.length > 0);
+    await waitUntil('disconnect reported', () => disconnected.length > 0);
     expect(disconnected).toEqual(['client']);
   });
 
   /**
-   * Symptom: followers began an election though their leader lived.
-   * Sequence: a leader's connection is suspect, and is closed when the one in its place is up.
-   * Cause: the server was told that the peer had left, whatever other connections it had.
-   * What settled it: two connections of one name, of which one closed.
+   * Regression test: when a suspect connection was replaced, the server reported the peer as
+   * disconnected although it had another connection.
    */
-  it('tells the server only when the last connection of a peer has closed', async () => {
+  it('reports a disconnect only when the last connection of a peer has closed', async () => {
     const disconnected: string[] = [];
     const server = await startServer((name) => disconnected.push(name));
     const [first, second] = [linkTo(server), linkTo(server)];
@@ -182,10 +178,10 @@
     await sleep(100);
     expect(disconnected).toEqual([]);
     second.close();
-    await waitUntil('told', () => disconnected.length === 1);
+    await waitUntil('disconnect reported', () => disconnected.length === 1);
   });
 
-  it('comes back when the peer does', async () => {
+  it('reconnects when the peer returns', async () => {
     const server = await startServer();
     const link = linkTo(server);
     await link.waitConnected(5_000);
