--- a/src/callers/caller-api.ts
+++ b/src/callers/caller-api.ts
@@ -139,8 +139,8 @@
     if (call.settled && offset === undefined) {
       const result = resultOfSettled(call);
       if (result.kind !== 'completed') throw problemOf(result);
-      const subject = { program: programId, sequence, model: '' };
-      sendJson(response, 200, completionDocument(subject, result));
+      const metadata = { program: programId, sequence, model: '' };
+      sendJson(response, 200, completionDocument(metadata, result));
       return;
     }
     const execution = this.options.runner.start(specification);
@@ -179,9 +179,9 @@
   ): Promise<void> {
     const { programId: program, sequence, tenant } = specification;
     const hint = await this.options.context.hints.get(program, tenant);
-    const subject = { program, sequence, model: hint?.model ?? '' };
-    if (eventOffset === undefined) await writeJsonResponse(response, execution, subject);
-    else await writeEventStream(response, execution, subject, eventOffset);
+    const metadata = { program, sequence, model: hint?.model ?? '' };
+    if (eventOffset === undefined) await writeJsonResponse(response, execution, metadata);
+    else await writeEventStream(response, execution, metadata, eventOffset);
   }
 
   private async open(
--- a/src/callers/response-writer.ts
+++ b/src/callers/response-writer.ts
@@ -19,18 +19,18 @@
 export async function writeJsonResponse(
   response: ServerResponse,
   execution: CallExecution,
-  subject: ResponseMetadata,
+  metadata: ResponseMetadata,
 ): Promise<void> {
   const result = await execution.result;
   if (result.kind !== 'completed') throw problemOf(result);
-  sendJson(response, 200, completionDocument(subject, result));
+  sendJson(response, 200, completionDocument(metadata, result));
 }
 
-export function completionDocument(subject: ResponseMetadata, result: CompletedResult): object {
+export function completionDocument(metadata: ResponseMetadata, result: CompletedResult): object {
   return {
-    id: completionId(subject),
+    id: completionId(metadata),
     object: 'chat.completion',
-    model: subject.model,
+    model: metadata.model,
     choices: [
       {
         index: 0,
@@ -39,7 +39,7 @@
       },
     ],
     usage: usageDocument(result.usage),
-    ledgegauge: { ...subject, outcome: 'completed', cost: result.cost },
+    ledgegauge: { ...metadata, outcome: 'completed', cost: result.cost },
   };
 }
 
@@ -50,10 +50,10 @@
 export async function writeEventStream(
   response: ServerResponse,
   execution: CallExecution,
-  subject: ResponseMetadata,
+  metadata: ResponseMetadata,
   offset: number,
 ): Promise<void> {
-  const writer = new EventWriter(response, subject, offset);
+  const writer = new EventWriter(response, metadata, offset);
   while (execution.currentResult === undefined) {
     const progress = execution.waitProgress();
     await writer.writeProgress(execution);
@@ -72,11 +72,11 @@
 
   constructor(
     private readonly response: ServerResponse,
-    private readonly subject: ResponseMetadata,
+    private readonly metadata: ResponseMetadata,
     private sent: number,
   ) {
-    const { model } = subject;
-    const head = { id: completionId(subject), object: 'chat.completion.chunk', model };
+    const { model } = metadata;
+    const head = { id: completionId(metadata), object: 'chat.completion.chunk', model };
     this.chunkPrefix = `${JSON.stringify(head).slice(0, -1)},"choices":[{"index":0,"delta":{"content":`;
   }
 
@@ -96,14 +96,14 @@
     if (result.answer.length < this.sent) this.writeRestart(this.generation + 1);
     if (result.answer.length > this.sent) this.writeText(result.answer);
     this.writeHead();
-    const { subject } = this;
+    const { metadata } = this;
     const finalChunk = {
-      id: completionId(subject),
+      id: completionId(metadata),
       object: 'chat.completion.chunk',
-      model: subject.model,
+      model: metadata.model,
       choices: [{ index: 0, delta: {}, finish_reason: result.finishReason }],
       usage: usageDocument(result.usage),
-      ledgegauge: { ...subject, outcome: 'completed', cost: result.cost },
+      ledgegauge: { ...metadata, outcome: 'completed', cost: result.cost },
     };
     const id = String(result.answer.length);
     this.response.write(formatEvent({ id, data: JSON.stringify(finalChunk) }));
@@ -141,8 +141,8 @@
   }
 }
 
-function completionId(subject: ResponseMetadata): string {
-  return `${subject.program}#${subject.sequence}`;
+function completionId(metadata: ResponseMetadata): string {
+  return `${metadata.program}#${metadata.sequence}`;
 }
 
 function usageDocument(usage: EngineUsage | undefined): object | undefined {
--- a/src/callers/settlement.ts
+++ b/src/callers/settlement.ts
@@ -54,11 +54,11 @@
   };
 }
 
-type SimpleResult = SettledResult | RefusedResult | ConflictResult | UnknownProgramResult;
+type FinalAnswer = SettledResult | RefusedResult | ConflictResult | UnknownProgramResult;
 
 export function resultOfFinalAnswer(
   specification: CallSpecification,
-  answer: SimpleResult,
+  answer: FinalAnswer,
 ): CallResult {
   switch (answer.status) {
     case 'settled':
--- a/src/http/http.test.ts
+++ b/src/http/http.test.ts
@@ -29,13 +29,13 @@
     const splitPositions = fc.array(fc.integer({ min: 0, max: 200 }), { maxLength: 8 });
     fc.assert(
       fc.property(fc.array(event, { maxLength: 6 }), splitPositions, (events, positions) => {
-        const whole = events.map(formatEvent).join('');
+        const encoded = events.map(formatEvent).join('');
         const parser = new EventParser();
         const parsed: ServerSentEvent[] = [];
         let from = 0;
-        for (const end of [...positions.sort((a, b) => a - b), whole.length]) {
-          const to = Math.max(from, Math.min(end, whole.length));
-          parsed.push(...parser.push(whole.slice(from, to)));
+        for (const end of [...positions.sort((a, b) => a - b), encoded.length]) {
+          const to = Math.max(from, Math.min(end, encoded.length));
+          parsed.push(...parser.push(encoded.slice(from, to)));
           from = to;
         }
         expect(parsed).toEqual(events);
--- a/src/nodes/group-member-process.ts
+++ b/src/nodes/group-member-process.ts
@@ -159,7 +159,7 @@
   private requireLog(group: ReplicatedGroup): void {
     if (this.identity.identity.state !== 'member' || group.log.lastIndex > 0) return;
     throw new DamagedLogError(
-      'the log is missing but the identity file exists; restart with an empty data folder',
+      'data folder has an identity but no log; restart with an empty data folder',
       { step: 'nodes.enter', peer: group.name },
     );
   }
