--- a/emulator/engine/order-book.ts
+++ b/emulator/engine/engine-order-state.ts
@@ -10,7 +10,7 @@
 
 export type EngineOrderBody = z.infer<typeof orderSchema>;
 
-export class OrderBook {
+export class EngineOrderState {
   private current: EngineOrderBody | undefined;
   private readonly loaded = new Set<string>();
 
@@ -27,7 +27,7 @@
   }
 
   /** Takes an order unless a newer one is known. */
-  take(order: EngineOrderBody): boolean {
+  apply(order: EngineOrderBody): boolean {
     if (this.current && order.fence < this.current.fence) return false;
     this.current = order;
     return true;
--- a/emulator/engine/engine-server.ts
+++ b/emulator/engine/engine-server.ts
@@ -23,8 +23,8 @@
 import { CacheEventFeed } from './cache-event-feed.js';
 import { EngineRunner } from './engine-runner.js';
 import type { EngineSettings } from './engine-settings.js';
-import { FaultMode, faultModeSchema } from './fault-mode.js';
-import { OrderBook, orderSchema } from './order-book.js';
+import { FaultInjector, faultModeSchema } from './fault-injector.js';
+import { EngineOrderState, orderSchema } from './engine-order-state.js';
 
 const MAX_BODY_BYTES = 64 * 1024 * 1024;
 const RETRY_AFTER_MS = 200;
@@ -77,8 +77,8 @@
   private readonly model: EngineModel;
   private readonly runner: EngineRunner;
   private readonly feed: CacheEventFeed;
-  private readonly orders: OrderBook;
-  private readonly faults = new FaultMode();
+  private readonly orders: EngineOrderState;
+  private readonly faults = new FaultInjector();
   private readonly releases: ReleaseRecord[] = [];
   private readonly arrivals: ArrivalRecord[] = [];
   /** The last of the KV transfers under way. */
@@ -102,7 +102,7 @@
         }),
     });
     this.runner = new EngineRunner(this.model, settings.timeScale, settings.loadReportLag);
-    this.orders = new OrderBook(settings.weightStore);
+    this.orders = new EngineOrderState(settings.weightStore);
   }
 
   static async start(settings: EngineSettings, logger: Logger): Promise<EngineServer> {
@@ -165,7 +165,7 @@
   private async complete({ request, response }: HttpExchange): Promise<void> {
     const parsed = completionSchema.safeParse(await readJson(request, MAX_BODY_BYTES));
     if (!parsed.success) throw badRequestProblem(parsed.error.message);
-    if (await this.faults.applyBeforeAnswer(response)) return;
+    if (await this.faults.applyBeforeResponse(response)) return;
     const body = parsed.data;
     const { tenant, program, sequence, attempt, cost_ceiling, hold_ms } = body.ledgegauge;
     if (!this.orders.serves(body.model))
@@ -229,9 +229,9 @@
       if (fresh.length > 0) {
         sent += fresh.length;
         const delta = { choices: [{ index: 0, delta: { content: fresh } }], id, model };
-        const data = this.faults.alterChunk(JSON.stringify(delta));
+        const data = this.faults.corruptChunk(JSON.stringify(delta));
         response.write(formatEvent({ id: String(sent), data }));
-        if (this.faults.cutsStream()) response.destroy();
+        if (this.faults.shouldCutStream()) response.destroy();
       }
       if (!sequence.isOver) return;
       stopListening();
@@ -281,7 +281,7 @@
   private async order({ request, response }: HttpExchange): Promise<void> {
     const parsed = orderSchema.safeParse(await readJson(request, MAX_BODY_BYTES));
     if (!parsed.success) throw badRequestProblem(parsed.error.message);
-    if (!this.orders.take(parsed.data))
+    if (!this.orders.apply(parsed.data))
       throw badRequestProblem('a newer order is known', 'fenced', 409);
     this.logger.info('order taken', { fence: parsed.data.fence, role: parsed.data.role });
     await this.orders.loadModels();
--- a/emulator/engine/fault-mode.ts
+++ b/emulator/engine/fault-injector.ts
@@ -10,7 +10,7 @@
 
 export type FaultSettings = z.infer<typeof faultModeSchema>;
 
-export class FaultMode {
+export class FaultInjector {
   private settings: FaultSettings = { mode: 'none', count: 0 };
 
   set(settings: FaultSettings): void {
@@ -18,13 +18,13 @@
   }
 
   /** Answers instead of the engine, if the mode says so; returns whether it did. */
-  async applyBeforeAnswer(response: ServerResponse): Promise<boolean> {
+  async applyBeforeResponse(response: ServerResponse): Promise<boolean> {
     const { mode } = this.settings;
-    if (mode === 'nothing' && this.use()) {
+    if (mode === 'nothing' && this.consume()) {
       response.destroy();
       return true;
     }
-    if (mode === 'half-event' && this.use()) {
+    if (mode === 'half-event' && this.consume()) {
       response.writeHead(200, { 'content-type': 'text/event-stream' });
       response.end('id: 3\ndata: {"choi');
       return true;
@@ -32,15 +32,15 @@
     return false;
   }
 
-  alterChunk(data: string): string {
-    return this.settings.mode === 'rubbish' && this.use() ? '{"%%' : data;
+  corruptChunk(data: string): string {
+    return this.settings.mode === 'rubbish' && this.consume() ? '{"%%' : data;
   }
 
-  cutsStream(): boolean {
-    return this.settings.mode === 'cut' && this.use();
+  shouldCutStream(): boolean {
+    return this.settings.mode === 'cut' && this.consume();
   }
 
-  private use(): boolean {
+  private consume(): boolean {
     if (this.settings.count <= 0) return false;
     this.settings.count -= 1;
     return true;
--- a/emulator/model/engine-model.test.ts
+++ b/emulator/model/engine-model.test.ts
@@ -113,7 +113,7 @@
     expect(engine.cache.heldPrograms).toEqual(['q']);
     expect(engine.releaseProgram('q')).toBeGreaterThan(0);
     expect(engine.cache.heldPrograms).toEqual([]);
-    expect(engine.cache.blocksOf('q')).toBe(0);
+    expect(engine.cache.countBlocksOf('q')).toBe(0);
   });
 
   it('never uses more memory than it has, whatever comes', () => {
--- a/emulator/model/engine-model.ts
+++ b/emulator/model/engine-model.ts
@@ -179,7 +179,7 @@
     const matched = hashes.slice(0, this.cache.matchLength(hashes));
     this.cache.pin(matched, request.program, this.nowMs);
     const needed = this.blocksFor(request) - matched.length;
-    if (!this.cache.takePrivate(needed, this.nowMs)) {
+    if (!this.cache.reservePrivate(needed, this.nowMs)) {
       this.cache.unpin(matched);
       return false;
     }
--- a/emulator/model/prefix-cache.ts
+++ b/emulator/model/prefix-cache.ts
@@ -92,7 +92,7 @@
   }
 
   /** Reserves memory of a running sequence; false when even eviction gives not enough. */
-  takePrivate(count: number, nowMs: number): boolean {
+  reservePrivate(count: number, nowMs: number): boolean {
     if (!this.makeRoom(count, nowMs)) return false;
     this.privateBlocks += count;
     return true;
@@ -118,7 +118,7 @@
 
   /** Keeps blocks for a program until the hold expires; replaces its earlier hold. */
   hold(program: string, hashes: readonly string[], expiresAtMs: number): void {
-    this.endHold(program);
+    this.releaseHold(program);
     const present = hashes.filter((hash) => this.blocks.has(hash));
     if (present.length === 0) return;
     this.holds.set(program, { hashes: present, expiresAtMs });
@@ -127,7 +127,7 @@
     }
   }
 
-  endHold(program: string): void {
+  releaseHold(program: string): void {
     const hold = this.holds.get(program);
     if (!hold) return;
     this.holds.delete(program);
@@ -140,13 +140,13 @@
 
   expireHolds(nowMs: number): void {
     for (const [program, hold] of this.holds) {
-      if (hold.expiresAtMs <= nowMs) this.endHold(program);
+      if (hold.expiresAtMs <= nowMs) this.releaseHold(program);
     }
   }
 
   /** Ends a program's hold and drops the blocks that it used last; returns the blocks dropped. */
   releaseProgram(program: string, nowMs: number): number {
-    this.endHold(program);
+    this.releaseHold(program);
     let dropped = 0;
     for (const block of [...this.blocks.values()]) {
       if (block.program !== program || !this.isEvictable(block)) continue;
@@ -157,7 +157,7 @@
   }
 
   /** Blocks last used by a program, held or not. */
-  blocksOf(program: string): number {
+  countBlocksOf(program: string): number {
     let count = 0;
     for (const block of this.blocks.values()) if (block.program === program) count += 1;
     return count;
--- a/lab/bench/bench-run.ts
+++ b/lab/bench/bench-run.ts
@@ -8,7 +8,7 @@
 import { type LoadOptions, runLoad } from '../load/load-run.js';
 import { type LoadSummary, summarize } from '../load/summary.js';
 import type { Recorder } from '../workload/recorder.js';
-import { type CacheWaste, measureCacheWaste, measureReturns } from './cache-waste.js';
+import { type CacheWaste, measureCacheWaste, measureEngineAffinity } from './cache-waste.js';
 import {
   BENCH_POLICIES,
   type BenchPolicy,
@@ -143,7 +143,7 @@
       load,
       summary,
       waste: measureCacheWaste(recorder, records, TIME_SCALE),
-      returns: measureReturns(records),
+      returns: measureEngineAffinity(records),
       goodput: this.completedPerSecond(recorder, startedAtMs),
     };
   }
--- a/lab/bench/cache-waste.ts
+++ b/lab/bench/cache-waste.ts
@@ -36,7 +36,7 @@
 }
 
 /** Share of calls that went to the engine of the program's call before. */
-export function measureReturns(records: BackendRecords): number {
+export function measureEngineAffinity(records: BackendRecords): number {
   const arrivals = records.engines.flatMap(({ engine, arrivals: own }) =>
     own.map((arrival) => ({ ...arrival, engine })),
   );
--- a/lab/cli/bench-command.ts
+++ b/lab/cli/bench-command.ts
@@ -6,7 +6,7 @@
 import { BenchRun, benchFleet } from '../bench/bench-run.js';
 import { findDeployment } from '../fleet/topology.js';
 import { formatMs, formatShare, formatTable } from './table.js';
-import { startToolFleet } from './tool-fleet.js';
+import { startTemporaryFleet } from './temporary-fleet.js';
 
 export interface BenchFlags {
   deployment: string;
@@ -24,7 +24,10 @@
   const { deployment: name, output } = flags;
   const deployment = findDeployment(name);
   const loads = readLoads(flags.loads);
-  const { fleet, close } = await startToolFleet('bench', benchFleet(deployment, flags.firstSeed));
+  const { fleet, close } = await startTemporaryFleet(
+    'bench',
+    benchFleet(deployment, flags.firstSeed),
+  );
   const result = await new BenchRun({
     fleet,
     seeds: Array.from({ length: flags.seeds }, (_, index) => flags.firstSeed + index),
--- a/lab/cli/demo-command.ts
+++ b/lab/cli/demo-command.ts
@@ -5,7 +5,7 @@
 import { type LoadSummary, summarize } from '../load/summary.js';
 import { createProgress } from './progress.js';
 import { formatMs, formatShare, formatTable } from './table.js';
-import { startToolFleet } from './tool-fleet.js';
+import { startTemporaryFleet } from './temporary-fleet.js';
 
 export interface DemoFlags {
   deployment: string;
@@ -31,7 +31,7 @@
 export async function runDemo(flags: DemoFlags): Promise<void> {
   const startedAt = performance.now();
   const progress = createProgress('starting', flags.json === true);
-  const { fleet, close } = await startToolFleet('demo', {
+  const { fleet, close } = await startTemporaryFleet('demo', {
     deployment: findDeployment(flags.deployment),
     timeScale: TIME_SCALE,
     journalGroups: JOURNAL_GROUPS,
--- a/lab/cli/fleet-command.ts
+++ b/lab/cli/fleet-command.ts
@@ -8,7 +8,7 @@
 import { findDeployment } from '../fleet/topology.js';
 import { createProgress } from './progress.js';
 import { formatTable } from './table.js';
-import { startToolFleet } from './tool-fleet.js';
+import { startTemporaryFleet } from './temporary-fleet.js';
 import { removeWorkFolder } from './work-folder.js';
 
 export interface FleetFlags {
@@ -58,7 +58,7 @@
 
 async function fleetUp(flags: FleetFlags): Promise<void> {
   const progress = createProgress('starting', false);
-  const { fleet, workFolder } = await startToolFleet('fleet', {
+  const { fleet, workFolder } = await startTemporaryFleet('fleet', {
     deployment: findDeployment(flags.deployment),
     timeScale: flags.timeScale,
     journalGroups: JOURNAL_GROUPS,
--- a/lab/cli/interrupt.ts
+++ b/lab/cli/interrupt.ts
@@ -4,7 +4,7 @@
 const EXIT_INTERRUPTED = 130;
 
 /** On Ctrl-C or SIGTERM: takes the fleet down; a second time: kills it at once. */
-export function takeDownOnSignal(current: () => Fleet | undefined): void {
+export function stopFleetOnSignal(current: () => Fleet | undefined): void {
   let isStopping = false;
   const onSignal = (): void => {
     const fleet = current();
--- a/lab/cli/load-command.ts
+++ b/lab/cli/load-command.ts
@@ -5,7 +5,7 @@
 import { type LoadSummary, summarize } from '../load/summary.js';
 import { createProgress } from './progress.js';
 import { formatMs, formatShare, formatTable } from './table.js';
-import { startToolFleet } from './tool-fleet.js';
+import { startTemporaryFleet } from './temporary-fleet.js';
 
 export interface LoadFlags {
   deployment: string;
@@ -26,7 +26,7 @@
 export async function runLoadCommand(flags: LoadFlags): Promise<void> {
   const { deployment, seed, timeScale, concurrency, rate } = flags;
   const progress = createProgress('load', flags.json === true);
-  const { fleet, close } = await startToolFleet('load', {
+  const { fleet, close } = await startTemporaryFleet('load', {
     deployment: findDeployment(deployment),
     timeScale,
     journalGroups: JOURNAL_GROUPS,
--- a/lab/cli/tool-fleet.ts
+++ b/lab/cli/temporary-fleet.ts
@@ -1,9 +1,9 @@
 /** A fleet of a tool's own: in a folder of its own, taken down also when the tool is interrupted. */
 import { Fleet, type FleetOptions } from '../fleet/fleet.js';
-import { takeDownOnSignal } from './interrupt.js';
+import { stopFleetOnSignal } from './interrupt.js';
 import { createWorkFolder, removeWorkFolder } from './work-folder.js';
 
-export interface ToolFleet {
+export interface TemporaryFleet {
   fleet: Fleet;
   workFolder: string;
   /** Takes the fleet down and removes its folder. */
@@ -11,12 +11,12 @@
 }
 
 /** @param purpose names the folder */
-export async function startToolFleet(
+export async function startTemporaryFleet(
   purpose: string,
   options: Omit<FleetOptions, 'workFolder' | 'onCreated'>,
-): Promise<ToolFleet> {
+): Promise<TemporaryFleet> {
   const running: { fleet?: Fleet } = {};
-  takeDownOnSignal(() => running.fleet);
+  stopFleetOnSignal(() => running.fleet);
   const workFolder = createWorkFolder(purpose);
   const fleet = await Fleet.up({
     ...options,
--- a/lab/cli/torture-command.ts
+++ b/lab/cli/torture-command.ts
@@ -10,7 +10,7 @@
 import { type TortureReport, summarizeTorture } from '../torture/torture-report.js';
 import { createProgress } from './progress.js';
 import { formatMs, formatTable } from './table.js';
-import { startToolFleet } from './tool-fleet.js';
+import { startTemporaryFleet } from './temporary-fleet.js';
 
 export interface TortureFlags {
   deployment: string;
@@ -27,7 +27,7 @@
 export async function runTorture(flags: TortureFlags): Promise<void> {
   const faults = selectFaults(flags.faults);
   const progress = createProgress('torture', flags.json === true);
-  const { fleet, workFolder, close } = await startToolFleet('torture', {
+  const { fleet, workFolder, close } = await startTemporaryFleet('torture', {
     deployment: findDeployment(flags.deployment),
     timeScale: TORTURE_TIME_SCALE,
     journalGroups: JOURNAL_GROUPS,
--- a/lab/directory/main.ts
+++ b/lab/directory/main.ts
@@ -21,7 +21,7 @@
 import { PortAllocator } from '../fleet/ports.js';
 import { HostProcess } from '../host-process.js';
 import type { ControlHostSettings, ControlHostUsage } from './control-host.js';
-import { PlayedBackends } from './played-backends.js';
+import { SimulatedBackends } from './simulated-backends.js';
 import type { ProcessUsage } from './process-usage.js';
 import { sampleRoutes } from './sample-routes.js';
 import type { WatcherHostSettings } from './watcher-host.js';
@@ -50,7 +50,7 @@
   size: Size;
   controls: HostProcess[];
   watchers: HostProcess[];
-  backends: PlayedBackends;
+  backends: SimulatedBackends;
   directory: DirectoryClient;
   peers: PeerDirectory;
 }
@@ -62,7 +62,7 @@
   after: ControlHostUsage[];
   watchersBefore: ProcessUsage[];
   watchersAfter: ProcessUsage[];
-  backends: PlayedBackends;
+  backends: SimulatedBackends;
 }
 
 async function startControls(folder: string, internal: string[], heartbeat: string[]) {
@@ -113,7 +113,7 @@
   const directory = new DirectoryClient(new GroupClient({ peers, addresses: internal }));
   await putUntilTaken(directory, 1);
   const watchers = await startWatchers(internal, size.gateways);
-  const backends = new PlayedBackends({
+  const backends = new SimulatedBackends({
     count: size.backends,
     addresses: heartbeat,
     intervalMs: HEARTBEAT_INTERVAL_MS,
@@ -135,10 +135,10 @@
 async function measurePhase(fleet: Fleet, work: () => Promise<unknown>): Promise<PhaseFigures> {
   const { controls, watchers, backends } = fleet;
   const readControls = (): Promise<ControlHostUsage[]> =>
-    Promise.all(controls.map((control) => control.ask<ControlHostUsage>('usage')));
+    Promise.all(controls.map((control) => control.request<ControlHostUsage>('usage')));
   const readWatchers = (): Promise<ProcessUsage[]> =>
-    Promise.all(watchers.map((watcher) => watcher.ask<ProcessUsage>('usage')));
-  backends.takeCounts();
+    Promise.all(watchers.map((watcher) => watcher.request<ProcessUsage>('usage')));
+  backends.readAndResetCounts();
   const watchersBefore = await readWatchers();
   const before = await readControls();
   const startedAt = monotonicMs();
@@ -152,7 +152,7 @@
 /** Resolves with the time until all watchers hold something, in milliseconds. */
 async function timeUntilHeld({ watchers }: Fleet, question: string): Promise<number> {
   const startedAt = monotonicMs();
-  await Promise.all(watchers.map((watcher) => watcher.ask<boolean>(question)));
+  await Promise.all(watchers.map((watcher) => watcher.request<boolean>(question)));
   return monotonicMs() - startedAt;
 }
 
@@ -201,7 +201,7 @@
   const { lateMs, worstLateMs } = after[leader]!;
   const watcherLateMs = Math.max(...watchersAfter.map((watcher) => watcher.worstLateMs));
   const gatewayMs = (processorMsOf(watchersAfter) - processorMsOf(watchersBefore)) / size.gateways;
-  const { acknowledged, failed } = backends.takeCounts();
+  const { acknowledged, failed } = backends.readAndResetCounts();
   const cells = [
     `${size.gateways}/${size.backends}`,
     phase,
--- a/lab/directory/played-backends.ts
+++ b/lab/directory/simulated-backends.ts
@@ -3,7 +3,7 @@
 import { sleep } from '../../src/common/index.js';
 import { type BackendRegistration, incarnationId } from '../../src/directory/index.js';
 
-export interface PlayedBackendsOptions {
+export interface SimulatedBackendsOptions {
   count: number;
   /** `host:port` of the control processes' endpoints for heartbeats. */
   addresses: string[];
@@ -23,14 +23,14 @@
 const SLOTS = 12;
 const SERVICES = 2;
 
-export class PlayedBackends {
+export class SimulatedBackends {
   private readonly agent = new Agent({ connections: CONNECTIONS, headersTimeout: PATIENCE_MS });
   private readonly starts = new Map<number, number>();
   private readonly stopping = new AbortController();
   private counts: HeartbeatCounts = { acknowledged: 0, failed: 0 };
   private sent = 0;
 
-  constructor(private readonly options: PlayedBackendsOptions) {}
+  constructor(private readonly options: SimulatedBackendsOptions) {}
 
   /** All begin within one interval. */
   start(): void {
@@ -42,7 +42,7 @@
   }
 
   /** Counts since the call before. */
-  takeCounts(): HeartbeatCounts {
+  readAndResetCounts(): HeartbeatCounts {
     const { counts } = this;
     this.counts = { acknowledged: 0, failed: 0 };
     return counts;
--- a/lab/directory/watcher-host.ts
+++ b/lab/directory/watcher-host.ts
@@ -11,7 +11,7 @@
 import { GroupClient, PeerDirectory } from '../../src/consensus/index.js';
 import { type BackendLoad, DirectoryClient, DirectoryWatcher } from '../../src/directory/index.js';
 import { MethodRouter } from '../../src/wire/index.js';
-import { SILENT } from '../silent-logger.js';
+import { SILENT_LOGGER } from '../silent-logger.js';
 import { UsageMeter } from './process-usage.js';
 
 export interface WatcherHostSettings {
@@ -55,7 +55,7 @@
     client: new DirectoryClient(new GroupClient({ peers, addresses })),
     announce: () => ({ name, role: 'gateway', address: `${name}:1`, zone: 'zone' }),
     loads: () => drawLoads(held.ids, callsUnderWay),
-    logger: SILENT,
+    logger: SILENT_LOGGER,
     // Gateways read them, so that their cost belongs to a gateway's.
     onOtherLoads: () => undefined,
     onConfiguration: ({ generation }) => {
--- a/lab/host-process.ts
+++ b/lab/host-process.ts
@@ -30,7 +30,7 @@
   }
 
   /** One question at a time. */
-  async ask<Answer>(question: string): Promise<Answer> {
+  async request<Answer>(question: string): Promise<Answer> {
     this.child.stdin!.write(`${question}\n`);
     const { value } = await this.lines.next();
     return JSON.parse(value) as Answer;
--- a/lab/ledger/ledger-host.ts
+++ b/lab/ledger/ledger-host.ts
@@ -21,7 +21,7 @@
 import { GroupMemberProcess } from '../../src/nodes/group-member-process.js';
 import { CONSENSUS_TIMING } from '../../src/nodes/node-settings.js';
 import { ValueStore, openStoreFolder } from '../../src/value-store/index.js';
-import { SILENT } from '../silent-logger.js';
+import { SILENT_LOGGER } from '../silent-logger.js';
 
 export interface LedgerHostSettings {
   member: Member;
@@ -67,14 +67,14 @@
   await writeIdentity(settings);
   const values = await ValueStore.open({
     folder: await openStoreFolder(join(folder, 'values')),
-    logger: SILENT,
+    logger: SILENT_LOGGER,
     onFatal: endProcess,
   });
   const stateMachine = new LedgerStateMachine({
     values,
     readTurnsAt: (address, request) =>
       host.peers.callWhenConnected(address, READ_TURNS, request, READ_LIMITS),
-    logger: SILENT,
+    logger: SILENT_LOGGER,
   });
   const host: GroupMemberProcess = await GroupMemberProcess.open({
     settings: {
@@ -94,7 +94,7 @@
     logQuotaBytes: undefined,
     isRetiring: () => false,
     onLeadershipChange: () => undefined,
-    logger: SILENT,
+    logger: SILENT_LOGGER,
     onFatal: endProcess,
   });
   const service = new LedgerService({
--- a/lab/ledger/main.ts
+++ b/lab/ledger/main.ts
@@ -16,7 +16,7 @@
 import { HistoryReader, LedgerClient, ValueCopySender } from '../../src/ledger/index.js';
 import { MethodRouter } from '../../src/wire/index.js';
 import { HostProcess } from '../host-process.js';
-import { SILENT } from '../silent-logger.js';
+import { SILENT_LOGGER } from '../silent-logger.js';
 import type { CollectionFigures, LedgerHostSettings, LedgerHostUsage } from './ledger-host.js';
 
 const HOST = fileURLToPath(new URL('ledger-host.js', import.meta.url));
@@ -88,9 +88,9 @@
   perSecond: number,
 ): Promise<void> {
   await load(clients, perSecond, WARM_UP_MS);
-  const before = await Promise.all(hosts.map((host) => host.ask<LedgerHostUsage>('usage')));
+  const before = await Promise.all(hosts.map((host) => host.request<LedgerHostUsage>('usage')));
   const { reserve, keep, failed } = await load(clients, perSecond, MEASURED_MS);
-  const after = await Promise.all(hosts.map((host) => host.ask<LedgerHostUsage>('usage')));
+  const after = await Promise.all(hosts.map((host) => host.request<LedgerHostUsage>('usage')));
   const seconds = MEASURED_MS / 1_000;
   const used = after.map(({ processorMs }, index) => processorMs - before[index]!.processorMs);
   const leader = after.findIndex(({ leads }) => leads);
@@ -143,10 +143,10 @@
       resolveAddress: (address) => address,
     });
     const groups = new GroupClient({ peers, addresses });
-    const histories = new HistoryReader(peers, SILENT);
+    const histories = new HistoryReader(peers, SILENT_LOGGER);
     return new LedgerClient(
       groups,
-      SILENT,
+      SILENT_LOGGER,
       `holder-${index}`,
       histories,
       new ValueCopySender(peers),
--- a/lab/slopes/control-fleet.ts
+++ b/lab/slopes/control-fleet.ts
@@ -19,7 +19,7 @@
   clientDelayMs: 0,
 };
 
-export interface Meter {
+export interface ResourceCounters {
   /** Processor seconds so far. */
   cpuSeconds: number;
   logBytes: number;
@@ -61,7 +61,7 @@
     return leader!;
   }
 
-  async meter(process: string): Promise<Meter> {
+  async readCounters(process: string): Promise<ResourceCounters> {
     const { statusAddress } = this.fleet.process(process).plan;
     const page = await readMetrics(statusAddress!);
     const read = (name: string): number => metricIn(page, name);
@@ -81,9 +81,14 @@
 }
 
 /** How a meter grew, per second. */
-export function growthPerSecond(before: Meter, after: Meter, elapsedMs: number): Meter {
+export function ratesPerSecond(
+  before: ResourceCounters,
+  after: ResourceCounters,
+  elapsedMs: number,
+): ResourceCounters {
   const seconds = elapsedMs / 1_000;
-  const rate = (read: (meter: Meter) => number): number => (read(after) - read(before)) / seconds;
+  const rate = (read: (meter: ResourceCounters) => number): number =>
+    (read(after) - read(before)) / seconds;
   return {
     cpuSeconds: rate((meter) => meter.cpuSeconds),
     logBytes: rate((meter) => meter.logBytes),
--- a/lab/slopes/journal-experiment.ts
+++ b/lab/slopes/journal-experiment.ts
@@ -3,7 +3,7 @@
 import { GroupClient, PeerDirectory } from '../../src/consensus/index.js';
 import { JournalClient, createProgramId } from '../../src/journal/index.js';
 import { MethodRouter } from '../../src/wire/index.js';
-import { ControlFleet, type Meter, growthPerSecond } from './control-fleet.js';
+import { ControlFleet, type ResourceCounters, ratesPerSecond } from './control-fleet.js';
 import type { Point } from './linear-fit.js';
 import { type Slope, type SlopeExperiment, createSlope } from './slope.js';
 
@@ -36,14 +36,16 @@
       report(`${rate} calls a second`);
       const leader = await control.leaderOf('journal-0');
       const follower = control.fleet.ofKind('control').find(({ name }) => name !== leader)!.name;
-      const before = await Promise.all([leader, follower].map((name) => control.meter(name)));
+      const before = await Promise.all(
+        [leader, follower].map((name) => control.readCounters(name)),
+      );
       const startedAt = monotonicMs();
       const calls = await driveCalls(control, rate);
       const elapsedMs = monotonicMs() - startedAt;
-      const after = await Promise.all([leader, follower].map((name) => control.meter(name)));
+      const after = await Promise.all([leader, follower].map((name) => control.readCounters(name)));
       const [ofLeader, ofFollower] = before.map((meter, index) =>
-        growthPerSecond(meter, after[index]!, elapsedMs),
-      ) as [Meter, Meter];
+        ratesPerSecond(meter, after[index]!, elapsedMs),
+      ) as [ResourceCounters, ResourceCounters];
       const x = (calls / elapsedMs) * MS_PER_SECOND;
       points.leader.push({ x, y: ofLeader.cpuSeconds * MS_PER_SECOND });
       points.follower.push({ x, y: ofFollower.cpuSeconds * MS_PER_SECOND });
@@ -98,15 +100,13 @@
       const control = await ControlFleet.up(groups);
       const names = control.fleet.ofKind('control').map(({ name }) => name);
       await sleep(MS_PER_SECOND);
-      const before = await Promise.all(names.map((name) => control.meter(name)));
+      const before = await Promise.all(names.map((name) => control.readCounters(name)));
       const startedAt = monotonicMs();
       await sleep(IDLE_MEASURE_MS);
       const elapsedMs = monotonicMs() - startedAt;
-      const after = await Promise.all(names.map((name) => control.meter(name)));
-      const growths = before.map((meter, index) =>
-        growthPerSecond(meter, after[index]!, elapsedMs),
-      );
-      const mean = (read: (meter: Meter) => number): number =>
+      const after = await Promise.all(names.map((name) => control.readCounters(name)));
+      const growths = before.map((meter, index) => ratesPerSecond(meter, after[index]!, elapsedMs));
+      const mean = (read: (meter: ResourceCounters) => number): number =>
         growths.reduce((sum, growth) => sum + read(growth), 0) / growths.length;
       cpu.push({ x: groups, y: mean((growth) => growth.cpuSeconds) * MS_PER_SECOND });
       bytes.push({ x: groups, y: mean((growth) => growth.peerBytes) });
--- a/lab/slopes/kept-turns-host.ts
+++ b/lab/slopes/kept-turns-host.ts
@@ -9,7 +9,7 @@
 import { LedgerStateMachine, READ_TURNS } from '../../src/ledger/index.js';
 import { ValueStore, openStoreFolder } from '../../src/value-store/index.js';
 import { MethodRouter, PeerLink, RpcServer, encodeValue } from '../../src/wire/index.js';
-import { SILENT } from '../silent-logger.js';
+import { SILENT_LOGGER } from '../silent-logger.js';
 import { usedBytes } from './used-bytes.js';
 
 /** What was measured; times in milliseconds. */
@@ -38,13 +38,13 @@
 ): Promise<Member> {
   const values = await ValueStore.open({
     folder: await openStoreFolder(folder),
-    logger: SILENT,
+    logger: SILENT_LOGGER,
     cacheBytes: CACHE_BYTES,
     onFatal: (error) => {
       throw error;
     },
   });
-  return { values, state: new LedgerStateMachine({ values, readTurnsAt, logger: SILENT }) };
+  return { values, state: new LedgerStateMachine({ values, readTurnsAt, logger: SILENT_LOGGER }) };
 }
 
 async function keepTurns({ values, state }: Member, turns: number, bytes: number): Promise<void> {
