--- a/src/clustering/safe-removal.test.ts
+++ b/src/clustering/safe-removal.test.ts
@@ -29,7 +29,7 @@
       ({ member: { id } }) => id === group.ownId || group.matchIndexOf(id) === group.log.lastIndex,
     ),
   );
-  await cluster.loseDisk(await cluster.crash(victim.member.id));
+  await cluster.deleteDisk(await cluster.crash(victim.member.id));
   await sleep(UNREACHABLE_MS);
   expect(leader.group.isCurrentLeader).toBe(true);
   expect(manager.isSafeToRemove('emptied')).toBe(false);
--- a/src/clustering/voter-set-manager.test.ts
+++ b/src/clustering/voter-set-manager.test.ts
@@ -72,7 +72,7 @@
   const victim = cluster.members.find(({ group }) => !group.isLeader)!;
   await announce(victim.member);
   const old = await cluster.crash(victim.member.id);
-  await cluster.loseDisk(old);
+  await cluster.deleteDisk(old);
   const renewed: Member = { ...old, id: `${old.name}-second`, role: 'learner' };
   await cluster.start(renewed, false);
   await waitUntil('voter under its new identity', async () => {
--- a/src/consensus/consensus.test.ts
+++ b/src/consensus/consensus.test.ts
@@ -136,7 +136,7 @@
     const leader = await cluster.waitLeader();
     const victim = cluster.members.find(({ member }) => member.id !== leader.member.id)!;
     const old = await cluster.crash(victim.member.id);
-    await cluster.loseDisk(old);
+    await cluster.deleteDisk(old);
     const replacement = { ...old, id: `${old.name}-second`, role: 'learner' as const };
     const back = await cluster.start(replacement, false);
     await waitUntil('voter again', () => cluster.join(replacement));
@@ -159,7 +159,7 @@
     const leader = await cluster.waitLeader();
     const victim = cluster.members.find(({ member }) => member.id !== leader.member.id)!;
     const old = await cluster.crash(victim.member.id);
-    await cluster.loseDisk(old);
+    await cluster.deleteDisk(old);
     const replacement = { ...old, id: `${old.name}-second`, role: 'learner' as const };
     const back = await cluster.start(replacement, false);
     const other = cluster.members.find(
--- a/src/consensus/full-disk.test.ts
+++ b/src/consensus/full-disk.test.ts
@@ -11,13 +11,13 @@
     const first = await cluster.waitLeader();
     const client = cluster.client();
     await client.execute(GROUP, 'one', CALL);
-    first.disk.roomBytes = 0;
+    first.disk.freeBytes = 0;
     await client.execute(GROUP, 'two', CALL);
     await client.execute(GROUP, 'three', CALL);
     await client.execute(GROUP, 'four', CALL);
     expect(cluster.leader?.member.id).not.toBe(first.member.id);
     expect(cluster.members.flatMap(({ fatalErrors }) => fatalErrors)).toEqual([]);
-    first.disk.roomBytes = undefined;
+    first.disk.freeBytes = undefined;
     await waitUntil('the first leader has caught up', () => first.machine.items.length === 4);
     expect(first.machine.items).toEqual(['one', 'two', 'three', 'four']);
   });
--- a/src/consensus/replaced-member-heartbeats.test.ts
+++ b/src/consensus/replaced-member-heartbeats.test.ts
@@ -24,7 +24,7 @@
   const leader = await cluster.waitLeader();
   const [lost, follower] = cluster.members.filter(({ group }) => !group.isLeader);
   const old = await cluster.crash(lost!.member.id);
-  await cluster.loseDisk(old);
+  await cluster.deleteDisk(old);
   const learner = { ...old, id: `${old.name}-second`, role: 'learner' as const };
   await cluster.start(learner, false);
   await waitUntil('settled', () => leader.group.isConfigurationSettled);
--- a/src/directory/delayed-leader.test.ts
+++ b/src/directory/delayed-leader.test.ts
@@ -4,7 +4,7 @@
  */
 import { expect, it, onTestFinished } from 'vitest';
 import { CommittingDirectory } from '../../tests/support/committing-directory.js';
-import { LateRelay } from '../../tests/support/late-relay.js';
+import { DelayRelay } from '../../tests/support/delay-relay.js';
 import { waitUntil } from '../../tests/support/wait-until.js';
 import { sleep } from '../common/index.js';
 import { GroupClient, PeerDirectory } from '../consensus/index.js';
@@ -40,7 +40,7 @@
   const directory = new CommittingDirectory();
   const router = new MethodRouter();
   registerDirectoryService(router, directory.leader, () => directory.group);
-  const relay = await LateRelay.start(await serve(router));
+  const relay = await DelayRelay.start(await serve(router));
   const followerPort = await serve(redirectTo(() => relay.address));
 
   const peers = new PeerDirectory({
--- a/src/directory/silent-connections.test.ts
+++ b/src/directory/silent-connections.test.ts
@@ -7,7 +7,7 @@
 import { sampleRegistration } from '../../tests/support/directory-samples.js';
 import { SilencingRelay } from '../../tests/support/silencing-relay.js';
 import { waitUntil } from '../../tests/support/wait-until.js';
-import { type HeldNews, watchDirectory } from '../../tests/support/watched-directory.js';
+import { type WatchedState, watchDirectory } from '../../tests/support/watched-directory.js';
 import { MethodRouter, RpcServer } from '../wire/index.js';
 import { registerDirectoryService } from './directory-service.js';
 import { WATCH } from './messages.js';
@@ -39,7 +39,7 @@
   private constructor(
     readonly directory: CommittingDirectory,
     readonly relay: SilencingRelay,
-    readonly held: HeldNews,
+    readonly held: WatchedState,
   ) {}
 
   static async start(): Promise<WatchedDirectory> {
--- a/src/directory/silent-leader.test.ts
+++ b/src/directory/silent-leader.test.ts
@@ -5,7 +5,7 @@
 import { expect, it, onTestFinished } from 'vitest';
 import { CommittingDirectory } from '../../tests/support/committing-directory.js';
 import { sampleRegistration } from '../../tests/support/directory-samples.js';
-import { LateRelay } from '../../tests/support/late-relay.js';
+import { DelayRelay } from '../../tests/support/delay-relay.js';
 import { waitUntil } from '../../tests/support/wait-until.js';
 import { watchDirectory } from '../../tests/support/watched-directory.js';
 import { MethodRouter, RpcServer } from '../wire/index.js';
@@ -32,7 +32,7 @@
     () => new CommittingDirectory({ leaderAddress: () => leaderAddress }),
   );
   const directory = new CommittingDirectory({ followers });
-  const relay = await LateRelay.start(await serve(directory));
+  const relay = await DelayRelay.start(await serve(directory));
   leaderAddress = relay.address;
   const ports = await Promise.all(followers.map(serve));
   const addresses = [...ports.map((port) => `${HOST}:${port}`), leaderAddress];
--- a/src/forwarding/response-framing.test.ts
+++ b/src/forwarding/response-framing.test.ts
@@ -8,12 +8,17 @@
   wait,
   write,
 } from '../../tests/support/raw-backend.js';
-import { type RawOutcome, type RawSend, ownLines, sendRaw } from '../../tests/support/raw-sends.js';
+import {
+  type RawOutcome,
+  type RawSend,
+  identityHeaderLines,
+  sendRaw,
+} from '../../tests/support/raw-sends.js';
 import { BackendConnectionPool } from './backend-connections.js';
 import type { SendResult } from './send-attempt.js';
 
 const OWN_ID = 'call-1';
-const OWN_HEADERS = ownLines(OWN_ID).join('\r\n');
+const OWN_HEADERS = identityHeaderLines(OWN_ID).join('\r\n');
 
 let backend: RawBackend | undefined;
 afterEach(() => backend?.stop());
@@ -31,7 +36,7 @@
 }
 
 function head(...lines: string[]): string {
-  return ['HTTP/1.1 200 OK', ...ownLines(OWN_ID), ...lines].join('\r\n') + '\r\n\r\n';
+  return ['HTTP/1.1 200 OK', ...identityHeaderLines(OWN_ID), ...lines].join('\r\n') + '\r\n\r\n';
 }
 
 describe('close-delimited response', () => {
@@ -58,7 +63,7 @@
 
   it('is broken when the connection is reset while the reader is slow', async () => {
     const connections = await startBackend([write(partial), wait(30), write('more'), ...reset]);
-    const { result } = await send(connections, { mayGoOn: () => false });
+    const { result } = await send(connections, { shouldContinue: () => false });
     expect(result).toMatchObject({ kind: 'broken', hadHead: true });
   });
 });
@@ -69,7 +74,7 @@
     backend = await RawBackend.start(() => [write(head() + body), close]);
     const connections = new BackendConnectionPool(backend.address, () => 1);
     const { result, body: received } = await send(connections, {
-      mayGoOn(attempt) {
+      shouldContinue(attempt) {
         setTimeout(() => attempt.resume(), 10);
         return false;
       },
--- a/src/forwarding/response-fuzz.test.ts
+++ b/src/forwarding/response-fuzz.test.ts
@@ -13,7 +13,7 @@
   wait,
   write,
 } from '../../tests/support/raw-backend.js';
-import { ownLines, sendRaw } from '../../tests/support/raw-sends.js';
+import { identityHeaderLines, sendRaw } from '../../tests/support/raw-sends.js';
 import { waitUntil } from '../../tests/support/wait-until.js';
 import { SeededRandom } from '../common/index.js';
 import { BackendConnectionPool } from './backend-connections.js';
@@ -46,7 +46,7 @@
 }
 
 function headOf(id: string, framing: Framing, bodyBytes: number): string {
-  const lines = ['HTTP/1.1 200 OK', ...ownLines(id)];
+  const lines = ['HTTP/1.1 200 OK', ...identityHeaderLines(id)];
   if (framing === 'length') lines.push(`Content-Length: ${bodyBytes}`);
   if (framing === 'chunks') lines.push('Transfer-Encoding: chunked');
   return `${lines.join('\r\n')}\r\n\r\n`;
--- a/src/journal/journal-random.test.ts
+++ b/src/journal/journal-random.test.ts
@@ -1,7 +1,7 @@
 /** Invariants of the journal under random command sequences. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { CEILING, JournalBench, TENANT } from '../../tests/support/journal-bench.js';
+import { MAX_CALL_COST, JournalBench, TENANT } from '../../tests/support/journal-bench.js';
 
 const bench = new JournalBench();
 const { apply, open, begin, finish, restart } = bench;
@@ -14,12 +14,12 @@
       sequence: fc.integer({ min: 1, max: 4 }),
       submission: fc.integer({ min: 1, max: 3 }),
       attempt: fc.integer({ min: 1, max: 3 }),
-      cost: fc.integer({ min: 0, max: 3 * CEILING }),
+      cost: fc.integer({ min: 0, max: 3 * MAX_CALL_COST }),
     });
     fc.assert(
       fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
         bench.reset();
-        const root = open({ programId: 'root', budget: 5 * CEILING });
+        const root = open({ programId: 'root', budget: 5 * MAX_CALL_COST });
         const ids = [
           root,
           open({ programId: 'root.a', parent: root }),
--- a/src/journal/journal.test.ts
+++ b/src/journal/journal.test.ts
@@ -1,10 +1,10 @@
 /** Behavior of each journal command. */
 import { beforeEach, describe, expect, it } from 'vitest';
 import {
-  CEILING,
+  MAX_CALL_COST,
   JournalBench,
   LIMITS,
-  OWN_TOKENS,
+  PROMPT_TOKENS,
   TENANT,
 } from '../../tests/support/journal-bench.js';
 import { decodeValue } from '../wire/index.js';
@@ -125,34 +125,34 @@
 
 describe('budget', () => {
   it('reserves the maximum cost, settles the actual cost and refuses calls that are not covered', () => {
-    const program = open({ budget: CEILING });
+    const program = open({ budget: MAX_CALL_COST });
     begin(program, 1);
-    expect(summary(program)).toMatchObject({ spent: 0, reserved: CEILING });
+    expect(summary(program)).toMatchObject({ spent: 0, reserved: MAX_CALL_COST });
     finish(program, 1);
-    expect(summary(program)).toMatchObject({ spent: OWN_TOKENS + 10, reserved: 0 });
+    expect(summary(program)).toMatchObject({ spent: PROMPT_TOKENS + 10, reserved: 0 });
     expect(begin(program, 2)).toMatchObject({ reason: 'budget-exhausted' });
   });
 
   it('does not let concurrent sub-agents overspend the root budget', () => {
-    const root = open({ budget: CEILING });
+    const root = open({ budget: MAX_CALL_COST });
     const [left, right] = [open({ parent: root }), open({ parent: root })];
     expect(begin(left, 1)).toMatchObject({ status: 'begun' });
     expect(begin(right, 1)).toMatchObject({ reason: 'budget-exhausted' });
   });
 
   it('charges a lost attempt in full before a restart', () => {
-    const program = open({ budget: 2 * CEILING - 1 });
+    const program = open({ budget: 2 * MAX_CALL_COST - 1 });
     begin(program, 1);
     const answer = restart(program, 1, {});
     expect(answer).toMatchObject({ status: 'settled', call: { settled: { outcome: 'unknown' } } });
-    expect(summary(program)).toMatchObject({ spent: CEILING, reserved: 0 });
+    expect(summary(program)).toMatchObject({ spent: MAX_CALL_COST, reserved: 0 });
   });
 
   it('releases the reservation of an attempt that certainly never ran', () => {
-    const program = open({ budget: CEILING });
+    const program = open({ budget: MAX_CALL_COST });
     begin(program, 1, { token: 'first' });
     expect(restart(program, 1, { neverRanToken: 'first' })).toMatchObject({ status: 'begun' });
-    expect(summary(program)).toMatchObject({ spent: 0, reserved: CEILING });
+    expect(summary(program)).toMatchObject({ spent: 0, reserved: MAX_CALL_COST });
   });
 });
 
@@ -262,7 +262,7 @@
     const program = open();
     begin(program, 1);
     apply({ type: 'end', programId: program, tenant: TENANT, reason: 'ended-by-caller' });
-    expect(summary(program)).toMatchObject({ spent: CEILING, reserved: 0 });
+    expect(summary(program)).toMatchObject({ spent: MAX_CALL_COST, reserved: 0 });
     expect(begin(program, 1)).toMatchObject({ status: 'settled' });
   });
 });
--- a/src/ledger/history-reader.test.ts
+++ b/src/ledger/history-reader.test.ts
@@ -42,7 +42,7 @@
 
   it('is sent by the leader on request after no follower returned it', async () => {
     const { ledger, groups } = await startLedger();
-    await ledger.loseAtFollowers();
+    await ledger.deleteAtFollowers();
     const { historySource } = await reserve(groups, true);
     const reader = ledger.createReader();
     const reading = reader.read(KEPT_TURN.attempt, historySource!, LIMITS.timeoutMs);
@@ -73,7 +73,7 @@
 
   it('reads the history from the leader if no follower holds it', async () => {
     const { ledger, groups } = await startLedger();
-    await ledger.loseAtFollowers();
+    await ledger.deleteAtFollowers();
     expect(Buffer.from((await reserveAsGateway(ledger, groups))!)).toEqual(KEPT_HISTORY);
     expect(ledger.sentBy(true)).toBe(KEPT_HISTORY.length);
   });
--- a/src/ledger/kept-turn-load.test.ts
+++ b/src/ledger/kept-turn-load.test.ts
@@ -1,9 +1,9 @@
 /** A burst of kept turns must not saturate the leader's link, which would delay commits long after the burst. */
 import { expect, it, vi } from 'vitest';
 import {
-  BURST_PER_SECOND,
+  BURST_TURNS_PER_SECOND,
   KeptLoad,
-  ORDINARY_PER_SECOND,
+  REGULAR_TURNS_PER_SECOND,
   RECOVERY_MS,
   startMeteredLedger,
 } from '../../tests/support/kept-load.js';
@@ -21,19 +21,19 @@
   const leader = (await ledger.cluster.waitLeader()).member.address;
   const load = new KeptLoad(ledger);
   const startedAt = monotonicMs();
-  await load.send(ORDINARY_PER_SECOND, 1_500);
+  await load.send(REGULAR_TURNS_PER_SECOND, 1_500);
   const burstAt = monotonicMs();
   const sentBefore = links.sentBy(leader);
-  await load.send(BURST_PER_SECOND, 4_000);
+  await load.send(BURST_TURNS_PER_SECOND, 4_000);
   const burstEndAt = monotonicMs();
   const burstBytes = links.sentBy(leader) - sentBefore;
-  await load.send(ORDINARY_PER_SECOND, 4_000);
+  await load.send(REGULAR_TURNS_PER_SECOND, 4_000);
   const endedAt = monotonicMs();
-  await load.finish();
-  expect.soft(load.inTimeBetween(startedAt, burstAt)).toBeGreaterThan(0.95);
-  expect.soft(load.inTimeBetween(burstAt, burstEndAt)).toBeGreaterThan(0.95);
+  await load.waitForAll();
+  expect.soft(load.shareInTimeBetween(startedAt, burstAt)).toBeGreaterThan(0.95);
+  expect.soft(load.shareInTimeBetween(burstAt, burstEndAt)).toBeGreaterThan(0.95);
   expect.soft(burstBytes / load.keptBytesBetween(burstAt, burstEndAt)).toBeLessThan(1);
-  expect.soft(load.inTimeBetween(burstEndAt + RECOVERY_MS, endedAt)).toBeGreaterThan(0.99);
+  expect.soft(load.shareInTimeBetween(burstEndAt + RECOVERY_MS, endedAt)).toBeGreaterThan(0.99);
 });
 
 /** Members that recover their values must not fetch them all from one member, whose link also carries commits. */
@@ -41,15 +41,15 @@
   simulateTime(SEED);
   const { ledger } = await startMeteredLedger();
   const load = new KeptLoad(ledger);
-  await load.send(ORDINARY_PER_SECOND, 4_000);
+  await load.send(REGULAR_TURNS_PER_SECOND, 4_000);
   const lostAt = monotonicMs();
   const replacing = ledger.replaceTwoFollowers();
-  await load.send(ORDINARY_PER_SECOND, 5_000);
+  await load.send(REGULAR_TURNS_PER_SECOND, 5_000);
   const endedAt = monotonicMs();
-  await load.finish();
+  await load.waitForAll();
   const replaced = await replacing;
-  expect.soft(load.inTimeBetween(lostAt, endedAt)).toBeGreaterThan(0.95);
+  expect.soft(load.shareInTimeBetween(lostAt, endedAt)).toBeGreaterThan(0.95);
   for (const id of replaced) {
-    await waitUntil('whole', () => ledger.holdsValue(id, 't1') && ledger.holdsValue(id, 't600'));
+    await waitUntil('whole', () => ledger.hasValue(id, 't1') && ledger.hasValue(id, 't600'));
   }
 });
--- a/src/ledger/kept-turns-power-loss.test.ts
+++ b/src/ledger/kept-turns-power-loss.test.ts
@@ -6,8 +6,11 @@
 import { describe, expect, it, vi } from 'vitest';
 import { fuzzSeeds } from '../../tests/support/fuzz-seeds.js';
 import { DiskCluster } from '../../tests/support/simulated-disk-cluster.js';
-import { ChainWriter, readUntilRight } from '../../tests/support/simulated-disk-load.js';
-import { type NameDurability, spreadRandom } from '../../tests/support/simulated-disk.js';
+import { ChainWriter, readUntilCorrect } from '../../tests/support/simulated-disk-load.js';
+import {
+  type NameDurability,
+  createDecorrelatedRandom,
+} from '../../tests/support/simulated-disk.js';
 import { waitUntil } from '../../tests/support/wait-until.js';
 import { type SeededRandom, monotonicMs, sleep } from '../common/index.js';
 import { type ConsensusOptions, checkConsensusOptions } from '../consensus/index.js';
@@ -85,7 +88,7 @@
   private readonly writers: ChainWriter[];
 
   constructor(readonly seed: number) {
-    this.random = spreadRandom(seed);
+    this.random = createDecorrelatedRandom(seed);
     const { random } = this;
     this.nameDurability = random.pick(['file-sync', 'folder-sync-only']);
     this.cluster = new DiskCluster({
@@ -97,7 +100,7 @@
         trailingEntries: random.integer(0, 20),
       }),
       nameDurability: this.nameDurability,
-      longestSyncMs: random.pick([0, 3, 10]),
+      maxSyncMs: random.pick([0, 3, 10]),
     });
     const { cluster } = this;
     this.writers = Array.from({ length: WRITERS }, (_, index) => {
@@ -111,7 +114,7 @@
   async play(): Promise<string[]> {
     const { cluster, writers, random } = this;
     try {
-      await cluster.found();
+      await cluster.bootstrap();
       for (const writer of writers) writer.start();
       const eventCount = random.integer(2, MAX_FAULT_EVENTS);
       for (let count = 0; count < eventCount; count += 1) {
@@ -137,7 +140,7 @@
     if (event.includes('disk')) {
       if (random.chance(0.4)) await this.applyDuringRecovery();
       await this.restartAll();
-      await waitUntil('whole again', () => cluster.isWhole, RECOVERY_BOUND_MS);
+      await waitUntil('whole again', () => cluster.isComplete, RECOVERY_BOUND_MS);
     }
     await this.advanceLedgerClock();
   }
@@ -151,7 +154,7 @@
   }
 
   private async applyEvent(event: FaultEvent): Promise<void> {
-    this.cluster.note(`blow ${event.map((fault) => fault ?? 'none').join(' ')}`);
+    this.cluster.record(`blow ${event.map((fault) => fault ?? 'none').join(' ')}`);
     const waits = [() => this.waitOperations(event), () => this.waitAcknowledgement(), undefined];
     await this.random.pick(waits)?.();
     for (const [index, fault] of event.entries()) {
@@ -194,7 +197,7 @@
   /** Waits for an acknowledgement, after which a turn must not be lost. */
   private async waitAcknowledgement(): Promise<void> {
     const acknowledgements = (): number =>
-      this.writers.reduce((sum, { acknowledgements }) => sum + acknowledgements, 0);
+      this.writers.reduce((sum, { acknowledgedCount }) => sum + acknowledgedCount, 0);
     const before = acknowledgements();
     const deadline = monotonicMs() + MAX_QUIET_MS;
     while (acknowledgements() === before && monotonicMs() < deadline) await setImmediate();
@@ -204,7 +207,7 @@
     const disk = this.cluster.disks[index]!;
     if (fault === 'kill') disk.kill();
     else if (fault === 'power') disk.losePower();
-    else disk.replaceByEmpty();
+    else disk.replaceWithEmpty();
   }
 
   private async waitUntilServing(): Promise<void> {
@@ -223,7 +226,7 @@
     for (let first = 0; first < kept.length; first += READ_CONCURRENCY) {
       const deadline = monotonicMs() + RECOVERY_BOUND_MS;
       const group = kept.slice(first, first + READ_CONCURRENCY);
-      const read = group.map((chain) => readUntilRight(reader, chain, deadline));
+      const read = group.map((chain) => readUntilCorrect(reader, chain, deadline));
       problems.push(...(await Promise.all(read)));
       // After the first loss the remaining histories are not checked.
       if (problems.some((problem) => problem !== undefined)) break;
--- a/src/ledger/leader-change-load.test.ts
+++ b/src/ledger/leader-change-load.test.ts
@@ -4,7 +4,7 @@
  */
 import { expect, it, vi } from 'vitest';
 import {
-  BURST_PER_SECOND,
+  BURST_TURNS_PER_SECOND,
   KeptLoad,
   RECOVERY_MS,
   startMeteredLedger,
@@ -25,28 +25,28 @@
   const { ledger } = await startMeteredLedger();
   const { cluster } = ledger;
   const load = new KeptLoad(ledger);
-  await load.send(BURST_PER_SECOND, BEFORE_MS);
+  await load.send(BURST_TURNS_PER_SECOND, BEFORE_MS);
   const { member } = await cluster.waitLeader();
   cluster.network.isolate(member.address);
-  await load.send(BURST_PER_SECOND, ISOLATION_MS);
+  await load.send(BURST_TURNS_PER_SECOND, ISOLATION_MS);
   cluster.network.healAll();
   const healedAt = monotonicMs();
-  await load.send(BURST_PER_SECOND, AFTER_MS);
+  await load.send(BURST_TURNS_PER_SECOND, AFTER_MS);
   const endedAt = monotonicMs();
-  await load.finish();
-  expect(load.inTimeBetween(healedAt + RECOVERY_MS, endedAt)).toBeGreaterThan(0.95);
+  await load.waitForAll();
+  expect(load.shareInTimeBetween(healedAt + RECOVERY_MS, endedAt)).toBeGreaterThan(0.95);
 });
 
 it('settles kept turns in time soon after two members lost their disks during a burst', async () => {
   simulateTime(SEED);
   const { ledger } = await startMeteredLedger();
   const load = new KeptLoad(ledger);
-  await load.send(BURST_PER_SECOND, BEFORE_MS);
+  await load.send(BURST_TURNS_PER_SECOND, BEFORE_MS);
   const lostAt = monotonicMs();
   const replacing = ledger.replaceTwoFollowers();
-  await load.send(BURST_PER_SECOND, RECOVERY_MS + AFTER_MS);
+  await load.send(BURST_TURNS_PER_SECOND, RECOVERY_MS + AFTER_MS);
   const endedAt = monotonicMs();
-  await load.finish();
+  await load.waitForAll();
   await replacing;
-  expect(load.inTimeBetween(lostAt + RECOVERY_MS, endedAt)).toBeGreaterThan(0.95);
+  expect(load.shareInTimeBetween(lostAt + RECOVERY_MS, endedAt)).toBeGreaterThan(0.95);
 });
--- a/src/ledger/missing-history.test.ts
+++ b/src/ledger/missing-history.test.ts
@@ -74,7 +74,7 @@
 describe('a turn whose history no member holds', () => {
   it('is refused at once with the reason that the leader gave', async () => {
     const { ledger, client } = await startLedger();
-    await ledger.loseAtAll();
+    await ledger.deleteAtAll();
     const startedAt = monotonicMs();
     const refusal = await continueTurn(client, 'lost');
     expect(refusal).toContain('1 kept turns are held by no member that answered');
@@ -87,7 +87,7 @@
     { name: 'few turns', lostEveryMs: 1_000, firstEveryMs: 400 },
   ])('neither delays nor refuses other turns ($name)', async ({ lostEveryMs, firstEveryMs }) => {
     const { ledger, client } = await startLedger();
-    await ledger.loseAtAll();
+    await ledger.deleteAtAll();
     let longestOutageMs = 0;
     const watch = setInterval(() => {
       longestOutageMs = Math.max(longestOutageMs, client.expectedOutageMs);
@@ -105,17 +105,17 @@
 describe('a turn whose history is held by an unreachable member', () => {
   it('waits for that member within its time limit', async () => {
     const { ledger, client } = await startLedger();
-    const holder = await ledger.loseAtAllButOneFollower();
+    const holder = await ledger.deleteAtAllButOneFollower();
     const member = await ledger.cluster.crash(holder);
     const reply = continueTurn(client, 'waits');
     await sleep(400);
-    await ledger.startMember(member);
+    await ledger.restartMember(member);
     expect(await reply).toBe(KEPT_HISTORY.toString());
   });
 
   it('is refused at once if that member returned without its disk', async () => {
     const { ledger, client } = await startLedger();
-    const lost = await ledger.cluster.crash(await ledger.loseAtAllButOneFollower());
+    const lost = await ledger.cluster.crash(await ledger.deleteAtAllButOneFollower());
     await ledger.replace(lost);
     const startedAt = monotonicMs();
     const error = await missingErrorOf(client.reserve(NEXT_TURN, USEFUL_MS, false));
@@ -125,7 +125,7 @@
 
   it('is refused once that member has been away for longer than the remaining time', async () => {
     const { ledger, client } = await startLedger();
-    await ledger.cluster.crash(await ledger.loseAtAllButOneFollower());
+    await ledger.cluster.crash(await ledger.deleteAtAllButOneFollower());
     const awaySince = monotonicMs();
     const trace = new ReservationTrace();
     const error = await missingErrorOf(client.reserve(NEXT_TURN, USEFUL_MS, false, trace));
--- a/src/ledger/single-member-power-loss.test.ts
+++ b/src/ledger/single-member-power-loss.test.ts
@@ -5,7 +5,7 @@
 import { describe, expect, it, vi } from 'vitest';
 import { fuzzSeeds } from '../../tests/support/fuzz-seeds.js';
 import { LoopbackNetwork } from '../../tests/support/loopback-network.js';
-import { playDeaths } from '../../tests/support/simulated-deaths.js';
+import { runKillSchedule } from '../../tests/support/simulated-kills.js';
 import {
   type RunningListMember,
   startListMember,
@@ -13,7 +13,7 @@
 import {
   type NameDurability,
   SimulatedDisk,
-  spreadRandom,
+  createDecorrelatedRandom,
 } from '../../tests/support/simulated-disk.js';
 import { waitUntil } from '../../tests/support/wait-until.js';
 import { Deferred, type SeededRandom, sleep } from '../common/index.js';
@@ -44,7 +44,7 @@
   private commands = 0;
 
   constructor(private readonly seed: number) {
-    this.random = spreadRandom(seed);
+    this.random = createDecorrelatedRandom(seed);
     const nameDurability: NameDurability = this.random.pick(['file-sync', 'folder-sync-only']);
     this.disk = new SimulatedDisk(`only-${seed}`, { seed, nameDurability });
   }
@@ -52,9 +52,9 @@
   /** @returns a description of the failure, if any */
   play(): Promise<string | undefined> {
     const { seed, random, disk } = this;
-    const bounds = { mostProcesses: MAX_PROCESSES, operations: OPERATIONS };
+    const bounds = { maxProcesses: MAX_PROCESSES, operations: OPERATIONS };
     const runProcess = (killAt: number): Promise<void> => this.runProcess(killAt);
-    return playDeaths({ seed, disk, random, ...bounds, runProcess });
+    return runKillSchedule({ seed, disk, random, ...bounds, runProcess });
   }
 
   private async runProcess(killAt: number): Promise<void> {
--- a/src/ledger/value-replication.test.ts
+++ b/src/ledger/value-replication.test.ts
@@ -26,7 +26,7 @@
 
 function countHolders(ledger: LedgerCluster): number {
   return ledger.cluster.members.filter(({ member }) =>
-    ledger.holdsValue(member.id, KEPT_TURN.attempt),
+    ledger.hasValue(member.id, KEPT_TURN.attempt),
   ).length;
 }
 
@@ -68,7 +68,7 @@
     const client = ledger.createClient('gateway');
     await client.settle(KEPT_TURN, LIMITS.timeoutMs);
     const { member } = await cluster.waitLeader();
-    await cluster.loseDisk(await cluster.crash(member.id));
+    await cluster.deleteDisk(await cluster.crash(member.id));
     await cluster.waitLeader(member.id);
     const groups = new GroupClient({ peers: cluster.network.peersOf('other'), addresses });
     const { outcome, history } = await callLeader(groups, LEDGER_GROUP, RESERVE, NEXT_TURN, LIMITS);
@@ -82,7 +82,7 @@
     await client.settle(KEPT_TURN, LIMITS.timeoutMs);
     await waitUntil('with all', () => countHolders(ledger) === VOTERS);
     for (const { member } of ledger.cluster.members) await ledger.cluster.crash(member.id);
-    await ledger.startAgain();
+    await ledger.restartAll();
     expect(countHolders(ledger)).toBe(VOTERS);
   });
 
--- a/src/ledger/value-store-power-loss.test.ts
+++ b/src/ledger/value-store-power-loss.test.ts
@@ -6,11 +6,11 @@
 import { join } from 'node:path';
 import { describe, expect, it, vi } from 'vitest';
 import { fuzzSeeds } from '../../tests/support/fuzz-seeds.js';
-import { playDeaths } from '../../tests/support/simulated-deaths.js';
+import { runKillSchedule } from '../../tests/support/simulated-kills.js';
 import {
   type NameDurability,
   SimulatedDisk,
-  spreadRandom,
+  createDecorrelatedRandom,
 } from '../../tests/support/simulated-disk.js';
 import { waitUntil } from '../../tests/support/wait-until.js';
 import { Deferred, type SeededRandom, sleep } from '../common/index.js';
@@ -119,16 +119,16 @@
     private readonly seed: number,
     nameDurability: NameDurability,
   ) {
-    this.random = spreadRandom(seed);
+    this.random = createDecorrelatedRandom(seed);
     this.disk = new SimulatedDisk(`values-${seed}`, { seed, nameDurability });
   }
 
   /** @returns a description of the failure, if any */
   play(): Promise<string | undefined> {
     const { seed, random, disk } = this;
-    const bounds = { mostProcesses: MAX_PROCESSES, operations: OPERATIONS };
+    const bounds = { maxProcesses: MAX_PROCESSES, operations: OPERATIONS };
     const runProcess = (killAt: number): Promise<void> => this.runProcess(killAt);
-    return playDeaths({ seed, disk, random, ...bounds, runProcess });
+    return runKillSchedule({ seed, disk, random, ...bounds, runProcess });
   }
 
   private async runProcess(killAt: number): Promise<void> {
--- a/src/log-store/full-disk.test.ts
+++ b/src/log-store/full-disk.test.ts
@@ -57,7 +57,7 @@
     const disk = new FaultyDisk();
     const { log, fatal, reports } = await open(folder, disk);
     await log.append(entries(1));
-    disk.roomBytes = 0;
+    disk.freeBytes = 0;
     const held = log.append(entries(2));
     expect(await isResolvedSoon(held)).toBe(false);
     expect(() => log.append(entries(3))).toThrow(StorageFullError);
@@ -65,7 +65,7 @@
       { kind: 'hard-state', group: 'g', state: { term: 2, votedFor: 'a' } },
     ]);
     expect(await isResolvedSoon(vote)).toBe(false);
-    disk.roomBytes = undefined;
+    disk.freeBytes = undefined;
     await Promise.all([held, vote]);
     await log.append(entries(3));
     await log.close();
@@ -81,10 +81,10 @@
     const disk = new FaultyDisk();
     const { log, fatal } = await open(folder, disk);
     await log.append(entries(1));
-    disk.roomBytes = 10;
+    disk.freeBytes = 10;
     const held = log.append(entries(2));
     expect(await isResolvedSoon(held)).toBe(false);
-    disk.roomBytes = undefined;
+    disk.freeBytes = undefined;
     await held;
     await log.close();
     expect(fatal).toEqual([]);
@@ -95,7 +95,7 @@
     const folder = temporaryFolder();
     const disk = new FaultyDisk();
     const { log, fatal } = await open(folder, disk, 64);
-    disk.roomBytes = 60;
+    disk.freeBytes = 60;
     const writes: Promise<void>[] = [];
     for (let index = 1; index <= 4; index += 1) {
       try {
@@ -106,7 +106,7 @@
       }
       await sleep(30);
     }
-    disk.roomBytes = undefined;
+    disk.freeBytes = undefined;
     await Promise.all(writes);
     const next = log.group('g').lastIndex + 1;
     await log.append(entries(next));
@@ -120,7 +120,7 @@
     const disk = new FaultyDisk();
     const { log, fatal } = await open(folder, disk);
     await log.append(entries(1));
-    disk.roomBytes = 0;
+    disk.freeBytes = 0;
     void log.append(entries(2));
     await sleep(30);
     await log.close();
@@ -132,9 +132,9 @@
     const disk = new FaultyDisk();
     const { log, fatal } = await open(temporaryFolder(), disk);
     await log.append(entries(1));
-    disk.roomBytes = 0;
+    disk.freeBytes = 0;
     await sleep(100);
-    disk.roomBytes = undefined;
+    disk.freeBytes = undefined;
     await log.append(entries(2));
     await log.close();
     expect(fatal).toEqual([]);
@@ -145,9 +145,9 @@
     const disk = new FaultyDisk();
     const { log, fatal } = await open(folder, disk);
     await log.append(entries(1));
-    disk.roomBytes = 5;
+    disk.freeBytes = 5;
     await sleep(100);
-    disk.roomBytes = undefined;
+    disk.freeBytes = undefined;
     await log.append(entries(2));
     await log.close();
     expect(fatal).toEqual([]);
--- a/src/log-store/queued-records.test.ts
+++ b/src/log-store/queued-records.test.ts
@@ -5,7 +5,7 @@
 import {
   ProcessKilledError,
   SimulatedDisk,
-  spreadRandom,
+  createDecorrelatedRandom,
 } from '../../tests/support/simulated-disk.js';
 import type { SeededRandom } from '../common/index.js';
 import type { GroupLogState } from './group-log-state.js';
@@ -106,7 +106,7 @@
 /** @returns a description of the failure, or undefined */
 async function runSchedule(seed: number): Promise<string | undefined> {
   const disk = new SimulatedDisk('log', { seed });
-  const random = spreadRandom(seed);
+  const random = createDecorrelatedRandom(seed);
   let log = await openLog(disk);
   for (let round = 0; round < 4; round += 1) {
     const writes: Promise<void>[] = [];
--- a/src/log-store/write-ahead-log-power-loss.test.ts
+++ b/src/log-store/write-ahead-log-power-loss.test.ts
@@ -9,7 +9,7 @@
   type NameDurability,
   ProcessKilledError,
   SimulatedDisk,
-  spreadRandom,
+  createDecorrelatedRandom,
 } from '../../tests/support/simulated-disk.js';
 import { Deferred, type SeededRandom } from '../common/index.js';
 import { GroupLogState } from './group-log-state.js';
@@ -182,7 +182,7 @@
   nameDurability: NameDurability,
 ): Promise<string | undefined> {
   const disk = new SimulatedDisk('log', { seed, nameDurability });
-  const random = spreadRandom(seed);
+  const random = createDecorrelatedRandom(seed);
   const expected = new ExpectedLog();
   try {
     for (const ending of endings) await runProcess(disk, expected, random, ending);
@@ -217,7 +217,11 @@
 ): Promise<string[]> {
   const failures: string[] = [];
   for (const seed of fuzzSeeds([], SCHEDULES)) {
-    const failure = await runSchedule(seed, randomEndings(spreadRandom(seed)), nameDurability);
+    const failure = await runSchedule(
+      seed,
+      randomEndings(createDecorrelatedRandom(seed)),
+      nameDurability,
+    );
     if (failure) failures.push(failure);
   }
   return failures;
--- a/src/quotas/quotas.test.ts
+++ b/src/quotas/quotas.test.ts
@@ -9,7 +9,7 @@
   type SimulatedEvent,
   type SimulatedTenant,
   allowedInWindow,
-  mostInWindow,
+  maxInWindow,
 } from '../../tests/support/quota-simulation.js';
 import { runPrograms } from '../../tests/support/program-simulation.js';
 
@@ -58,7 +58,7 @@
         simulation.run();
         for (const [index, { passedAt }] of simulation.outcomes.entries()) {
           const allowed = allowedInWindow(tenants[index]!.limit);
-          expect(mostInWindow(passedAt), tenants[index]!.name).toBeLessThanOrEqual(allowed);
+          expect(maxInWindow(passedAt), tenants[index]!.name).toBeLessThanOrEqual(allowed);
         }
       }),
       { numRuns: 60, seed: 3 },
@@ -80,7 +80,7 @@
       const after = simulation.outcomes[0]!.passedAt.filter(
         (time) => time >= loweredAt + IN_FORCE_MS,
       );
-      expect(mostInWindow(after)).toBeLessThanOrEqual(allowedInWindow(lowered));
+      expect(maxInWindow(after)).toBeLessThanOrEqual(allowedInWindow(lowered));
     }
   });
 });
@@ -144,12 +144,12 @@
   let owed = 0;
   let missing = 0;
   for (const outcome of simulation.outcomes) {
-    owed += outcome.owed;
-    missing += Math.max(0, outcome.owed - outcome.passedAt.length);
+    owed += outcome.idealCount;
+    missing += Math.max(0, outcome.idealCount - outcome.passedAt.length);
   }
   return {
     refused: missing / owed,
-    requestsPerSecond: simulation.asks / ((WARM_UP_MS + LOADED_MS) / 1_000),
+    requestsPerSecond: simulation.reportCount / ((WARM_UP_MS + LOADED_MS) / 1_000),
   };
 }
 
@@ -176,13 +176,13 @@
   it.each([1.2, 2, 4])(
     'completes at least 75 % of the sustainable programs, at %s times the limit',
     (load) => {
-      const { ended, bearable } = runPrograms(load);
-      expect(ended / bearable).toBeGreaterThan(0.75);
+      const { completed, sustainable } = runPrograms(load);
+      expect(completed / sustainable).toBeGreaterThan(0.75);
     },
   );
 
   it('completes more programs than with first come, first served', () => {
     const load = 2;
-    expect(runPrograms(load).ended).toBeGreaterThan(runPrograms(load, false).ended);
+    expect(runPrograms(load).completed).toBeGreaterThan(runPrograms(load, false).completed);
   });
 });
--- a/src/value-store/value-store.test.ts
+++ b/src/value-store/value-store.test.ts
@@ -194,11 +194,11 @@
     const { store, fatal } = await open(folder);
     putAll(store, keysFrom(0, 3));
     await store.sync();
-    folder.roomBytes = 150;
+    folder.freeBytes = 150;
     putAll(store, keysFrom(3, 3));
     await expect(store.sync()).rejects.toBeInstanceOf(DiskFullError);
     await expectAll(store, keysFrom(0, 6));
-    folder.roomBytes = Number.POSITIVE_INFINITY;
+    folder.freeBytes = Number.POSITIVE_INFINITY;
     await waitUntil('written', () => store.pendingBytes === 0);
     await store.sync();
     await store.close();
--- a/tests/support/consensus-cluster.ts
+++ b/tests/support/consensus-cluster.ts
@@ -143,7 +143,7 @@
     return running.member;
   }
 
-  async loseDisk(member: Member): Promise<void> {
+  async deleteDisk(member: Member): Promise<void> {
     await rm(this.folderOf(member), { recursive: true, force: true });
   }
 
--- a/tests/support/late-relay.ts
+++ b/tests/support/delay-relay.ts
@@ -2,7 +2,7 @@
 import { type AddressInfo, connect, createServer } from 'node:net';
 import { onTestFinished } from 'vitest';
 
-export class LateRelay {
+export class DelayRelay {
   /** How late bytes from the target arrive, in milliseconds. */
   delayMs = 0;
   /** Connections taken so far. */
@@ -10,8 +10,8 @@
   address = '';
 
   /** @param targetPort on the loopback address */
-  static async start(targetPort: number): Promise<LateRelay> {
-    const relay = new LateRelay();
+  static async start(targetPort: number): Promise<DelayRelay> {
+    const relay = new DelayRelay();
     const server = createServer((near) => {
       relay.connections += 1;
       const far = connect({ host: '127.0.0.1', port: targetPort });
--- a/tests/support/faulty-disk.ts
+++ b/tests/support/faulty-disk.ts
@@ -5,7 +5,7 @@
 
 export class FaultyDisk {
   /** Writes beyond this many bytes from now on are refused; no limit when undefined. */
-  roomBytes: number | undefined;
+  freeBytes: number | undefined;
   /** Files can't be made, though those that are there may still be written. */
   refusesNewFiles = false;
   private stalled: Deferred<void> | undefined;
@@ -38,10 +38,10 @@
 
   /** Like a real disk, accepts what fits of a write and refuses the next one. */
   private takeRoom(length: number): number {
-    if (this.roomBytes === undefined) return length;
-    if (this.roomBytes === 0) throw noSpace();
-    const taken = Math.min(length, this.roomBytes);
-    this.roomBytes -= taken;
+    if (this.freeBytes === undefined) return length;
+    if (this.freeBytes === 0) throw noSpace();
+    const taken = Math.min(length, this.freeBytes);
+    this.freeBytes -= taken;
     return taken;
   }
 }
--- a/tests/support/journal-bench.ts
+++ b/tests/support/journal-bench.ts
@@ -16,10 +16,10 @@
 
 export const TENANT = 'health';
 const MESSAGES = [{ role: 'user', content: 'why does the build fail?' }];
-export const OWN_TOKENS = countMessageTokens(MESSAGES);
+export const PROMPT_TOKENS = countMessageTokens(MESSAGES);
 const OUTPUT_TOKENS = 100;
 /** The most that one call of the bench can cost, in tokens. */
-export const CEILING = OWN_TOKENS + OUTPUT_TOKENS;
+export const MAX_CALL_COST = PROMPT_TOKENS + OUTPUT_TOKENS;
 export const LIMITS = { maxCalls: 10, maxDepth: 2, maxRepeatedCalls: 3, idleTimeoutMs: 60_000 };
 const GATEWAY = { id: 'gateway-1', incarnation: 'a' };
 
@@ -103,7 +103,7 @@
       attempt: 1,
       outcome: 'completed',
       answer: 'because of a typo',
-      cost: OWN_TOKENS + 10,
+      cost: PROMPT_TOKENS + 10,
       finishReason: 'stop',
       backends: ['engine-1'],
       ...change,
--- a/tests/support/kept-load.ts
+++ b/tests/support/kept-load.ts
@@ -10,9 +10,9 @@
 const GATEWAYS = 20;
 const TURN_BYTES = 17_000;
 /** Four copies of so many turns take 0.9 of the leader's link. */
-export const ORDINARY_PER_SECOND = 75;
+export const REGULAR_TURNS_PER_SECOND = 75;
 /** One copy takes 0.43 of it. */
-export const BURST_PER_SECOND = 150;
+export const BURST_TURNS_PER_SECOND = 150;
 /** Ten times what a turn takes while the link is free. */
 const IN_TIME_MS = 200;
 const TURN_TIMEOUT_MS = 1_000;
@@ -43,12 +43,12 @@
     }
   }
 
-  async finish(): Promise<void> {
+  async waitForAll(): Promise<void> {
     await Promise.all(this.open);
   }
 
   /** Share of the turns sent in a span that were kept in time. */
-  inTimeBetween(from: number, to: number): number {
+  shareInTimeBetween(from: number, to: number): number {
     const own = this.turns.filter(({ sentAt }) => sentAt >= from && sentAt < to);
     return own.filter(({ tookMs = Infinity }) => tookMs <= IN_TIME_MS).length / own.length;
   }
--- a/tests/support/ledger-cluster.ts
+++ b/tests/support/ledger-cluster.ts
@@ -149,12 +149,12 @@
   }
 
   /** Starts all members that crashed; their stores have written nothing, their logs all. */
-  async startAgain(): Promise<void> {
-    for (const { running } of [...this.members]) await this.startMember(running.member);
+  async restartAll(): Promise<void> {
+    for (const { running } of [...this.members]) await this.restartMember(running.member);
   }
 
   /** Starts one member that crashed. */
-  async startMember(member: Member): Promise<void> {
+  async restartMember(member: Member): Promise<void> {
     const { cluster, members } = this;
     const place = members.findIndex(({ running }) => running.member.id === member.id);
     members[place] = serveLedger(await cluster.start(member, false), cluster.network);
@@ -179,7 +179,7 @@
   async replace(lost: Member): Promise<string> {
     const { cluster } = this;
     const { group } = await cluster.waitLeader();
-    await cluster.loseDisk(lost);
+    await cluster.deleteDisk(lost);
     const renewed = { ...lost, id: `${lost.name}-second`, role: 'learner' as const };
     this.members.push(serveLedger(await cluster.start(renewed, false), cluster.network));
     await waitUntil('settled', () => group.isConfigurationSettled);
@@ -188,7 +188,7 @@
   }
 
   /** Whether a member holds the value of a turn. */
-  holdsValue(memberId: string, turn: string): boolean {
+  hasValue(memberId: string, turn: string): boolean {
     const found = this.members.find(({ running }) => running.member.id === memberId);
     return found?.machine.values.has(turn) ?? false;
   }
@@ -201,17 +201,17 @@
   }
 
   /** Followers know of the kept turn, but can't give it. */
-  async loseAtFollowers(): Promise<void> {
+  async deleteAtFollowers(): Promise<void> {
     await loseValue(this.members.filter(({ running }) => !running.group.isLeader));
   }
 
   /** All members know of the kept turn, and none can give it. */
-  async loseAtAll(): Promise<void> {
+  async deleteAtAll(): Promise<void> {
     await loseValue(this.members);
   }
 
   /** @returns the id of the only member that can still give the kept turn */
-  async loseAtAllButOneFollower(): Promise<string> {
+  async deleteAtAllButOneFollower(): Promise<string> {
     const holder = this.members.find(({ running }) => !running.group.isLeader)!;
     await waitUntil('kept', () => holder.machine.values.has(KEPT_TURN.attempt));
     await loseValue(this.members.filter((member) => member !== holder));
--- a/tests/support/memory-files.ts
+++ b/tests/support/memory-files.ts
@@ -8,7 +8,7 @@
 import { sleep } from '../../src/common/index.js';
 
 /** What a sync of a file or a folder takes: that of a flash disk beside other work. */
-export const SYNC_MS = 2;
+export const SYNC_DURATION_MS = 2;
 
 const FIRST_CAPACITY_BYTES = 4_096;
 
@@ -80,11 +80,11 @@
   }
 
   async datasync(): Promise<void> {
-    await sleep(SYNC_MS);
+    await sleep(SYNC_DURATION_MS);
   }
 
   async sync(): Promise<void> {
-    await sleep(SYNC_MS);
+    await sleep(SYNC_DURATION_MS);
   }
 
   async close(): Promise<void> {}
--- a/tests/support/program-simulation.ts
+++ b/tests/support/program-simulation.ts
@@ -22,10 +22,10 @@
 }
 
 export interface ProgramsOutcome {
-  begun: number;
-  ended: number;
+  started: number;
+  completed: number;
   /** Programs that the limit bears. */
-  bearable: number;
+  sustainable: number;
 }
 
 /**
@@ -46,8 +46,8 @@
   const programsPerStep = (load * LIMIT.ratePerSecond * STEP_MS) / 1_000 / CALLS_IN_PROGRAM;
   let programs: Program[] = [];
   let sequence = 0;
-  let begun = 0;
-  let ended = 0;
+  let started = 0;
+  let completed = 0;
   for (let now = 0; now < LENGTH_MS; now += STEP_MS) {
     if (now % ASK_EVERY_MS === 0) {
       const request = {
@@ -60,18 +60,18 @@
       shares.applyGrants(board.report(request, now)!, now + LEASE_MS, now);
     }
     if (now >= WARM_UP_MS && random.chance(programsPerStep)) {
-      begun += 1;
+      started += 1;
       programs.push({ callsLeft: CALLS_IN_PROGRAM, returns: 0, dueAt: now });
     }
     for (const program of programs) {
       if (program.dueAt <= now) step(program, shares, now, tellsFirstCalls);
     }
-    ended += programs.filter(({ callsLeft }) => callsLeft === 0).length;
+    completed += programs.filter(({ callsLeft }) => callsLeft === 0).length;
     programs = programs.filter(({ callsLeft, returns }) => callsLeft > 0 && returns <= MAX_RETURNS);
   }
   const seconds = (LENGTH_MS - WARM_UP_MS) / 1_000;
-  const bearable = Math.min(begun, (LIMIT.ratePerSecond * seconds) / CALLS_IN_PROGRAM);
-  return { begun, ended, bearable };
+  const sustainable = Math.min(started, (LIMIT.ratePerSecond * seconds) / CALLS_IN_PROGRAM);
+  return { started, completed, sustainable };
 }
 
 function step(
--- a/tests/support/quota-simulation.ts
+++ b/tests/support/quota-simulation.ts
@@ -46,8 +46,8 @@
   /** Times at which calls passed, in milliseconds. */
   passedAt: number[];
   /** Calls that one central bucket with the limit would have let pass. */
-  owed: number;
-  asked: number;
+  idealCount: number;
+  callCount: number;
   waited: number;
 }
 
@@ -105,7 +105,7 @@
 
 export class QuotaSimulation {
   readonly outcomes: TenantOutcome[];
-  asks = 0;
+  reportCount = 0;
   private readonly random: SeededRandom;
   private readonly gateways: SimulatedGateway[];
   private readonly ideal: { tokens: number; at: number }[];
@@ -121,7 +121,12 @@
     this.gateways = Array.from({ length: options.gateways }, () => new SimulatedGateway());
     this.limits = options.tenants.map(({ limit }) => limit);
     this.ideal = this.limits.map(({ burst }) => ({ tokens: burst, at: 0 }));
-    this.outcomes = this.limits.map(() => ({ passedAt: [], owed: 0, asked: 0, waited: 0 }));
+    this.outcomes = this.limits.map(() => ({
+      passedAt: [],
+      idealCount: 0,
+      callCount: 0,
+      waited: 0,
+    }));
   }
 
   run(): void {
@@ -203,7 +208,7 @@
     gateway.isNeeded = false;
     gateway.askedAt = now;
     gateway.sequence += 1;
-    this.asks += 1;
+    this.reportCount += 1;
     if (now < gateway.cutUntil) return;
     const leader = this.leaderFor(now);
     if (!leader) return;
@@ -275,8 +280,8 @@
   private call(index: number, gateway: SimulatedGateway, now: number): void {
     const { name } = this.options.tenants[index]!;
     const outcome = this.outcomes[index]!;
-    outcome.asked += 1;
-    if (this.isOwed(index, now)) outcome.owed += 1;
+    outcome.callCount += 1;
+    if (this.isOwed(index, now)) outcome.idealCount += 1;
     const { shares } = gateway;
     shares.noteCall(name, now);
     const isTaken = shares.take(name, false, now);
@@ -302,7 +307,7 @@
 }
 
 /** Most calls in any window. */
-export function mostInWindow(passedAt: readonly number[], windowMs = WINDOW_MS): number {
+export function maxInWindow(passedAt: readonly number[], windowMs = WINDOW_MS): number {
   let most = 0;
   let first = 0;
   for (const [last, at] of passedAt.entries()) {
--- a/tests/support/raw-sends.ts
+++ b/tests/support/raw-sends.ts
@@ -7,7 +7,7 @@
 const HTTP_MISDIRECTED = 421;
 
 /** Lines by which an answer of the back end names its call and itself. */
-export function ownLines(callId: string): string[] {
+export function identityHeaderLines(callId: string): string[] {
   return [`X-Call: ${callId}`, 'X-Stamp: s'];
 }
 
@@ -27,7 +27,7 @@
   /** @default GET */
   method?: string;
   /** Called with each part of the body; returns whether to go on reading. @default goes on */
-  mayGoOn?: (attempt: SendAttempt) => boolean;
+  shouldContinue?: (attempt: SendAttempt) => boolean;
 }
 
 /** What the forwarding code has of an answer in the end. */
@@ -38,7 +38,7 @@
 
 export async function sendRaw(
   connections: BackendConnectionPool,
-  { id, method = 'GET', mayGoOn = () => true }: RawSend,
+  { id, method = 'GET', shouldContinue = () => true }: RawSend,
 ): Promise<RawOutcome> {
   let body = '';
   const attempt: SendAttempt = new SendAttempt({
@@ -51,7 +51,7 @@
       onHead: () => undefined,
       onData(chunk: Buffer): boolean {
         body += chunk.toString('latin1');
-        return mayGoOn(attempt);
+        return shouldContinue(attempt);
       },
     },
     onDataReceived: () => undefined,
--- a/tests/support/simulated-disk-cluster.ts
+++ b/tests/support/simulated-disk-cluster.ts
@@ -24,7 +24,7 @@
   seed: number;
   consensus: CheckedConsensusOptions;
   /** Longest time that a sync takes, in milliseconds. */
-  longestSyncMs: number;
+  maxSyncMs: number;
   nameDurability?: NameDurability;
 }
 
@@ -48,13 +48,13 @@
   private founders: Member[] = [];
 
   constructor(private readonly options: DiskClusterOptions) {
-    const { name, seed, nameDurability, longestSyncMs } = options;
+    const { name, seed, nameDurability, maxSyncMs } = options;
     this.disks = MEMBER_NAMES.map((member, index) => {
       const diskSeed = seed * MEMBER_NAMES.length + index;
       return new SimulatedDisk(`${name}-${member}`, {
         seed: diskSeed,
         nameDurability,
-        longestSyncMs,
+        maxSyncMs,
       });
     });
   }
@@ -70,7 +70,7 @@
   }
 
   /** Whether the group's members are all voters, and just those that serve. */
-  get isWhole(): boolean {
+  get isComplete(): boolean {
     const { group } = this.leader ?? {};
     if (!group?.isConfigurationSettled) return false;
     const { members } = group.configuration;
@@ -86,27 +86,27 @@
   }
 
   /** Starts all members for the first time; they found the group together. */
-  async found(): Promise<void> {
+  async bootstrap(): Promise<void> {
     const opened = await Promise.all(this.disks.map((_, index) => this.openProcess(index)));
     this.founders = opened.map(({ member }) => ({ ...member, role: 'voter' }));
-    await Promise.all(opened.map((process) => process.enter(this.founders)));
+    await Promise.all(opened.map((process) => process.joinGroup(this.founders)));
   }
 
   /** Starts a member from what its disk holds; that it is killed meanwhile is no fault. */
   async start(index: number): Promise<void> {
     const disk = this.disks[index]!;
     const killing = new AbortController();
-    this.note(`${disk.name} starts`);
+    this.record(`${disk.name} starts`);
     try {
       const process = await this.openProcess(index, killing);
-      await process.enter(this.founders);
+      await process.joinGroup(this.founders);
     } catch (error) {
       if (!killing.signal.aborted) this.noteFault(disk, 'did not start', error);
     }
   }
 
   /** Notes what is done to the members beside what they log. */
-  note(line: string): void {
+  record(line: string): void {
     this.lines.push(`${Math.round(monotonicMs() - this.startedAt)} ${line}`);
   }
 
@@ -134,7 +134,7 @@
     const name = MEMBER_NAMES[index]!;
     const { network } = this;
     const root = disk.startProcess(() => {
-      this.note(`${disk.name} ends`);
+      this.record(`${disk.name} ends`);
       network.remove(name);
       this.processes[index] = undefined;
       killing.abort();
@@ -158,7 +158,7 @@
 
   private noteFault(disk: SimulatedDisk, what: string, error: unknown): void {
     const fault = `${disk.name} ${what}: ${describeError(error)}`;
-    this.note(fault);
+    this.record(fault);
     this.faults.push(fault);
     disk.kill();
   }
@@ -176,7 +176,7 @@
 
   private createLogger(member: string): Logger {
     const write = (message: string, fields = {}): void =>
-      this.note(`${member} ${message} ${JSON.stringify(fields)}`);
+      this.record(`${member} ${message} ${JSON.stringify(fields)}`);
     return { debug: write, info: write, warn: write, error: write };
   }
 }
--- a/tests/support/simulated-disk-files.ts
+++ b/tests/support/simulated-disk-files.ts
@@ -8,7 +8,7 @@
  */
 import type * as fileSystem from 'node:fs/promises';
 import { FileNode, FolderNode } from './simulated-disk-nodes.js';
-import { type SimulatedPlace, placeOf } from './simulated-disk.js';
+import { type SimulatedPath, parseSimulatedPath } from './simulated-disk.js';
 
 type FileSystem = typeof fileSystem;
 
@@ -19,27 +19,27 @@
   return Object.assign(new Error(`${code}: ${path}`), { code });
 }
 
-function pathOf({ segments }: SimulatedPlace): string {
+function pathOf({ segments }: SimulatedPath): string {
   return `/${segments.join('/')}`;
 }
 
-function parentOf(place: SimulatedPlace): FolderNode {
+function parentOf(place: SimulatedPath): FolderNode {
   const parent = place.disk.find(place.segments.slice(0, -1));
   if (!(parent instanceof FolderNode)) throw errorWith('ENOENT', pathOf(place));
   return parent;
 }
 
-function nameOf({ segments }: SimulatedPlace): string {
+function nameOf({ segments }: SimulatedPath): string {
   return segments.at(-1)!;
 }
 
-function existingFile(place: SimulatedPlace): FileNode {
+function existingFile(place: SimulatedPath): FileNode {
   const file = place.disk.find(place.segments);
   if (!(file instanceof FileNode)) throw errorWith('ENOENT', pathOf(place));
   return file;
 }
 
-async function openPlace(place: SimulatedPlace, flags: string): Promise<SimulatedHandle> {
+async function openPlace(place: SimulatedPath, flags: string): Promise<SimulatedHandle> {
   const { disk, process } = place;
   await disk.step(process, `open ${flags} ${pathOf(place)}`);
   if (flags === 'r' || flags === 'r+') {
@@ -50,7 +50,7 @@
   return fileHandle(place, emptyFile(place));
 }
 
-function emptyFile(place: SimulatedPlace): FileNode {
+function emptyFile(place: SimulatedPath): FileNode {
   const parent = parentOf(place);
   const existing = parent.find(nameOf(place));
   if (existing instanceof FileNode) {
@@ -63,7 +63,7 @@
 }
 
 /** Of a folder only the sync is of use. */
-function folderHandle(place: SimulatedPlace, folder: FolderNode): SimulatedHandle {
+function folderHandle(place: SimulatedPath, folder: FolderNode): SimulatedHandle {
   const handle = fileHandle(place, new FileNode(folder));
   return {
     ...handle,
@@ -74,7 +74,7 @@
   };
 }
 
-function fileHandle(place: SimulatedPlace, file: FileNode) {
+function fileHandle(place: SimulatedPath, file: FileNode) {
   const { disk, process } = place;
   const path = pathOf(place);
   let isOpen = true;
@@ -122,7 +122,7 @@
   };
 }
 
-async function makeFolders(place: SimulatedPlace, path: string): Promise<string | undefined> {
+async function makeFolders(place: SimulatedPath, path: string): Promise<string | undefined> {
   const { disk, process, segments } = place;
   await disk.step(process, `mkdir ${pathOf(place)}`);
   const missing = segments.filter((_, index) => !disk.find(segments.slice(0, index + 1))).length;
@@ -137,7 +137,7 @@
     .join('/');
 }
 
-async function renamePlace(from: SimulatedPlace, to: SimulatedPlace): Promise<void> {
+async function renamePlace(from: SimulatedPath, to: SimulatedPath): Promise<void> {
   await from.disk.step(from.process, `rename ${pathOf(to)}`);
   const folder = parentOf(from);
   if (folder !== parentOf(to)) throw new Error('simulated disks rename within one folder only');
@@ -145,26 +145,26 @@
   folder.rename(nameOf(from), nameOf(to));
 }
 
-async function removePlace(place: SimulatedPlace, isForced: boolean): Promise<void> {
+async function removePlace(place: SimulatedPath, isForced: boolean): Promise<void> {
   await place.disk.step(place.process, `remove ${pathOf(place)}`);
   const node = place.disk.find(place.segments);
   if (!node && !isForced) throw errorWith('ENOENT', pathOf(place));
   if (node) parentOf(place).remove(nameOf(place));
 }
 
-async function listPlace(place: SimulatedPlace): Promise<string[]> {
+async function listPlace(place: SimulatedPath): Promise<string[]> {
   await place.disk.step(place.process, `list ${pathOf(place)}`);
   const folder = place.disk.find(place.segments);
   if (!(folder instanceof FolderNode)) throw errorWith('ENOENT', pathOf(place));
   return folder.names;
 }
 
-async function readPlace(place: SimulatedPlace): Promise<Buffer> {
+async function readPlace(place: SimulatedPath): Promise<Buffer> {
   await place.disk.step(place.process, `read ${pathOf(place)}`);
   return Buffer.from(existingFile(place).bytes);
 }
 
-async function truncatePlace(place: SimulatedPlace, length: number): Promise<void> {
+async function truncatePlace(place: SimulatedPath, length: number): Promise<void> {
   await place.disk.step(place.process, `truncate ${pathOf(place)}`);
   existingFile(place).truncate(length);
 }
@@ -173,10 +173,10 @@
 export function withSimulatedDisks(original: FileSystem): FileSystem {
   const route = <Result>(
     path: unknown,
-    simulated: (place: SimulatedPlace) => Promise<unknown>,
+    simulated: (place: SimulatedPath) => Promise<unknown>,
     real: () => Promise<Result>,
   ): Promise<Result> => {
-    const place = placeOf(String(path));
+    const place = parseSimulatedPath(String(path));
     return place ? (simulated(place) as Promise<Result>) : real();
   };
   const replaced = {
@@ -197,7 +197,7 @@
     rename: (from: string, to: string) =>
       route(
         from,
-        (place) => renamePlace(place, placeOf(to)!),
+        (place) => renamePlace(place, parseSimulatedPath(to)!),
         () => original.rename(from, to),
       ),
     rm: (path: string, options: { force?: boolean } = {}) =>
--- a/tests/support/simulated-disk-load.ts
+++ b/tests/support/simulated-disk-load.ts
@@ -34,7 +34,7 @@
   /** Tokens of acknowledged turns by program. */
   readonly spentTokens = new Map<string, number>();
   /** Turns that were acknowledged so far, of all programs. */
-  acknowledgements = 0;
+  acknowledgedCount = 0;
   private turns = 0;
   private isStopped = false;
   private running: Promise<void> = Promise.resolve();
@@ -94,7 +94,7 @@
     };
     while (!this.isStopped) {
       if (!(await this.settle(settlement))) continue;
-      this.acknowledgements += 1;
+      this.acknowledgedCount += 1;
       this.spentTokens.set(program, (this.spentTokens.get(program) ?? 0) + SPENT_TOKENS);
       return { turn, history: `${previous?.history ?? ''}${input};` };
     }
@@ -119,7 +119,7 @@
  * Reads a kept turn's history at the leader, again and again until it is right.
  * @returns what was wrong last; undefined once it is right
  */
-export async function readUntilRight(
+export async function readUntilCorrect(
   client: GroupClient,
   { turn, history }: KeptChain,
   deadlineMs: number,
--- a/tests/support/simulated-disk-member.ts
+++ b/tests/support/simulated-disk-member.ts
@@ -33,7 +33,7 @@
 const CACHE_BYTES = 1_000;
 
 /** What its machine gives to a process. */
-export interface MemberSurroundings {
+export interface MemberEnvironment {
   name: string;
   /** Root path of the process on its machine's disk. */
   root: string;
@@ -53,7 +53,7 @@
   group: ReplicatedGroup | undefined;
 
   private constructor(
-    private readonly surroundings: MemberSurroundings,
+    private readonly surroundings: MemberEnvironment,
     private readonly identity: IdentityStore,
     private readonly wal: WriteAheadLog,
     readonly values: ValueStore,
@@ -62,7 +62,7 @@
   ) {}
 
   /** Opens the stores, as a journal process does before it takes part. */
-  static async open(surroundings: MemberSurroundings): Promise<DiskMember> {
+  static async open(surroundings: MemberEnvironment): Promise<DiskMember> {
     const { name, root, logger, onFatal } = surroundings;
     const folder = join(root, 'data');
     const values = await ValueStore.open({
@@ -93,7 +93,7 @@
   }
 
   /** Takes part in the group; founds it with the others where the disk knows of none. */
-  async enter(founders: Member[]): Promise<void> {
+  async joinGroup(founders: Member[]): Promise<void> {
     const host = this.createHost();
     await this.joinCluster(host, founders);
     const group = await host.openGroup(LEDGER_GROUP, this.stateMachine);
@@ -165,7 +165,7 @@
 }
 
 /** What a killed process still has in memory goes nowhere. */
-function peersWhileAlive({ name, network, killed, onVote }: MemberSurroundings): PeerCaller {
+function peersWhileAlive({ name, network, killed, onVote }: MemberEnvironment): PeerCaller {
   const peers = network.peersOf(name);
   return {
     isConnected: (address) => peers.isConnected(address),
--- a/tests/support/simulated-disk.ts
+++ b/tests/support/simulated-disk.ts
@@ -21,7 +21,7 @@
    */
   nameDurability?: NameDurability;
   /** Longest time that a sync takes, in milliseconds; drawn for each. @default 0 */
-  longestSyncMs?: number;
+  maxSyncMs?: number;
 }
 
 /** The process of this operation was killed, or its machine has lost power. */
@@ -31,7 +31,7 @@
 const SKIPPED_DRAWS = 32;
 
 /** A generator whose draws differ from the first on, also for seeds that follow one another. */
-export function spreadRandom(seed: number): SeededRandom {
+export function createDecorrelatedRandom(seed: number): SeededRandom {
   const random = new SeededRandom(seed);
   for (let count = 0; count < SKIPPED_DRAWS; count += 1) random.uniform();
   return random;
@@ -58,7 +58,7 @@
     readonly name: string,
     private readonly options: SimulatedDiskOptions,
   ) {
-    this.random = spreadRandom(options.seed);
+    this.random = createDecorrelatedRandom(options.seed);
     disks.set(name, this);
   }
 
@@ -100,7 +100,7 @@
   }
 
   /** Ends the running process; another disk without any content takes the place of this one. */
-  replaceByEmpty(): void {
+  replaceWithEmpty(): void {
     this.kill();
     this.root = emptyRoot();
   }
@@ -131,9 +131,9 @@
    */
   async step(process: number, operation: string, atDeath?: () => void): Promise<void> {
     await new Promise((resolve) => setImmediate(resolve));
-    const { longestSyncMs = 0 } = this.options;
-    if (longestSyncMs > 0 && operation.startsWith('sync')) {
-      await sleep(this.random.integer(0, longestSyncMs));
+    const { maxSyncMs = 0 } = this.options;
+    if (maxSyncMs > 0 && operation.startsWith('sync')) {
+      await sleep(this.random.integer(0, maxSyncMs));
     }
     if (!this.isProcessAlive || process !== this.process) throw new ProcessKilledError(operation);
     this.operations.push(operation);
@@ -165,7 +165,7 @@
 }
 
 /** Where a path of a simulated disk leads. */
-export interface SimulatedPlace {
+export interface SimulatedPath {
   disk: SimulatedDisk;
   process: number;
   /** Names on the way from the disk's root. */
@@ -173,7 +173,7 @@
 }
 
 /** @returns undefined for a path of the real file system */
-export function placeOf(path: string): SimulatedPlace | undefined {
+export function parseSimulatedPath(path: string): SimulatedPath | undefined {
   if (!path.startsWith(`${SIMULATED_ROOT}/`)) return undefined;
   const [name = '', process = '', ...segments] = path.slice(SIMULATED_ROOT.length + 1).split('/');
   const disk = disks.get(name);
--- a/tests/support/simulated-folder.ts
+++ b/tests/support/simulated-folder.ts
@@ -58,7 +58,7 @@
   /** Power goes at this operation, counted from 1. */
   powerLossAt = Number.POSITIVE_INFINITY;
   /** Bytes that may still be written. */
-  roomBytes = Number.POSITIVE_INFINITY;
+  freeBytes = Number.POSITIVE_INFINITY;
   private hasPower = true;
 
   /** What is there when power is back. */
@@ -165,9 +165,9 @@
         return { bytesRead: part.length };
       },
       write: async (bytes, start, length, offset) => {
-        const bytesWritten = Math.min(length, this.roomBytes);
+        const bytesWritten = Math.min(length, this.freeBytes);
         if (bytesWritten === 0) throw Object.assign(new Error('no space'), { code: 'ENOSPC' });
-        this.roomBytes -= bytesWritten;
+        this.freeBytes -= bytesWritten;
         const written = Buffer.from(bytes.subarray(start, start + bytesWritten));
         // Power may go in the middle of a write, so that it counts as one of the unsynced.
         file.unsynced.push({ bytes: written, offset });
--- a/tests/support/simulated-deaths.ts
+++ b/tests/support/simulated-kills.ts
@@ -2,11 +2,11 @@
 import type { SeededRandom } from '../../src/common/index.js';
 import type { SimulatedDisk } from './simulated-disk.js';
 
-export interface DeathSchedule {
+export interface KillSchedule {
   seed: number;
   disk: SimulatedDisk;
   random: SeededRandom;
-  mostProcesses: number;
+  maxProcesses: number;
   /** About as many operations as a process has. */
   operations: number;
   /** Runs one process until it is killed at an operation, counted from 1, or until it ends by itself. */
@@ -17,9 +17,9 @@
  * Half of the deaths take the machine's power along; the last process ends by itself.
  * @returns what was wrong; undefined when nothing was
  */
-export async function playDeaths(schedule: DeathSchedule): Promise<string | undefined> {
-  const { seed, disk, random, mostProcesses, operations, runProcess } = schedule;
-  const processes = random.integer(2, mostProcesses);
+export async function runKillSchedule(schedule: KillSchedule): Promise<string | undefined> {
+  const { seed, disk, random, maxProcesses: maxProcesses, operations, runProcess } = schedule;
+  const processes = random.integer(2, maxProcesses);
   try {
     for (let count = 0; count < processes; count += 1) {
       await runProcess(random.integer(1, operations));
--- a/tests/support/strict-caller.ts
+++ b/tests/support/strict-caller.ts
@@ -4,7 +4,7 @@
 /** How the caller's connection ended. */
 export type ConnectionEnd = 'closed' | 'reset' | 'open';
 
-export interface StrictAnswer {
+export interface StrictResponse {
   status: number | undefined;
   body: string;
   /** Whether the framing says that the whole body is there. */
@@ -23,7 +23,7 @@
 const LINE_END = '\r\n';
 
 /** Reads an answer from its bytes, as RFC 9112 frames it. */
-export function readAnswer(bytes: string, end: ConnectionEnd): StrictAnswer {
+export function parseResponse(bytes: string, end: ConnectionEnd): StrictResponse {
   const headEnd = bytes.indexOf(END_OF_HEAD);
   if (headEnd < 0) return { status: undefined, body: '', isComplete: false, trailing: '' };
   const [statusLine, ...lines] = bytes.slice(0, headEnd).split(LINE_END);
@@ -93,8 +93,8 @@
   }
 
   /** What has come so far. */
-  get answer(): StrictAnswer {
-    return readAnswer(this.bytes, this.end);
+  get response(): StrictResponse {
+    return parseResponse(this.bytes, this.end);
   }
 
   get hasEnded(): boolean {
@@ -102,8 +102,8 @@
   }
 
   /** Resolves once the gateway has closed the connection; what has come then is final. */
-  async untilClosed(): Promise<StrictAnswer> {
+  async waitUntilClosed(): Promise<StrictResponse> {
     await this.ended;
-    return this.answer;
+    return this.response;
   }
 }
--- a/tests/support/watched-directory.ts
+++ b/tests/support/watched-directory.ts
@@ -9,7 +9,7 @@
 import { createLogger } from '../../src/observability/index.js';
 import { MethodRouter } from '../../src/wire/index.js';
 
-export interface HeldNews {
+export interface WatchedState {
   /** Of the configuration; 0 before the first. */
   generation: number;
   backends: readonly BackendRecord[];
@@ -19,7 +19,7 @@
  * Follows the directory until the test is over.
  * @param addresses of its members
  */
-export function watchDirectory(addresses: string[], secret: string): HeldNews {
+export function watchDirectory(addresses: string[], secret: string): WatchedState {
   const peers = new PeerDirectory({
     ownName: 'gateway-1',
     secret,
@@ -27,7 +27,7 @@
     resolveAddress: (address) => address,
   });
   onTestFinished(() => peers.close());
-  const held: HeldNews = { generation: 0, backends: [] };
+  const held: WatchedState = { generation: 0, backends: [] };
   const watcher = new DirectoryWatcher({
     client: new DirectoryClient(new GroupClient({ peers, addresses })),
     announce: () => ({ name: 'gateway-1', role: 'gateway', address: 'g:1', zone: 'z' }),
