--- a/emulator/cli/ledgegauge-emulator.ts
+++ b/emulator/cli/ledgegauge-emulator.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The `ledgegauge-emulator` command line: stand-ins for what the platform gives. */
+/** The `ledgegauge-emulator` command line: emulators of the platform's components. */
 import { cac } from 'cac';
 import { addCheckConfigCommand } from '../../src/cli/check-config-command.js';
 import { addDaemonCommand } from '../../src/cli/daemon-command.js';
@@ -46,7 +46,7 @@
 
 addDaemonCommand(cli, {
   name: 'fault-proxy',
-  description: 'Carry connections and inject faults into them',
+  description: 'Proxy TCP connections and inject faults into them',
   schema: faultProxySettingsSchema,
   start: (settings, logger) => FaultProxy.start(settings, logger),
 });
--- a/emulator/engine/cache-event-feed.ts
+++ b/emulator/engine/cache-event-feed.ts
@@ -1,4 +1,4 @@
-/** Cache events as an engine publishes them: numbered, late, and with gaps. */
+/** Feed of an engine's cache events: numbered, delayed, and with lost events. */
 import { SeededRandom } from '../../src/common/index.js';
 import type { CacheEvent } from '../model/prefix-cache.js';
 
@@ -8,20 +8,20 @@
 
 export interface CacheEventPage {
   events: PublishedCacheEvent[];
-  /** The number to ask after next. */
+  /** Cursor for the next page: the number of the last event returned. */
   next: number;
 }
 
 export interface CacheEventFeedOptions {
-  /** How late events are seen, in milliseconds. */
+  /** Delay until an event becomes visible, in milliseconds. */
   lagMs: number;
-  /** Share of events that are never published; their numbers are missing. */
+  /** Probability that an event is not published; its number is then missing from the feed. */
   lossProbability: number;
   seed: number;
 }
 
 const MAX_KEPT_EVENTS = 20_000;
-const MAX_PAGE = 2_000;
+const MAX_PAGE_EVENTS = 2_000;
 
 interface TimedEvent extends PublishedCacheEvent {
   atMs: number;
@@ -47,9 +47,13 @@
     const visibleUntil = performance.now() - this.options.lagMs;
     const page = this.events
       .filter((event) => event.number > number && event.atMs <= visibleUntil)
-      .slice(0, MAX_PAGE);
+      .slice(0, MAX_PAGE_EVENTS);
     return {
-      events: page.map(({ kind, hash, number: own }) => ({ kind, hash, number: own })),
+      events: page.map(({ kind, hash, number: eventNumber }) => ({
+        kind,
+        hash,
+        number: eventNumber,
+      })),
       next: page.at(-1)?.number ?? number,
     };
   }
--- a/emulator/engine/engine-order-state.ts
+++ b/emulator/engine/engine-order-state.ts
@@ -1,4 +1,4 @@
-/** Fenced orders that an emulated engine has taken: role, and which models are loaded. */
+/** Fenced orders of an emulated engine: its role, and the models that it serves. */
 import { request } from 'undici';
 import { z } from 'zod';
 
@@ -14,33 +14,33 @@
   private current: EngineOrderBody | undefined;
   private readonly loaded = new Set<string>();
 
-  /** @param weightStore where models are loaded from; models are there at once without one */
+  /** @param weightStore address to load models from; if undefined, models load instantly */
   constructor(private readonly weightStore: string | undefined) {}
 
   get role(): 'active' | 'draining' {
     return this.current?.role ?? 'active';
   }
 
-  /** Before the first order an engine serves what it is asked for. */
+  /** Before the first order, an engine serves every model. */
   serves(model: string): boolean {
     return this.current === undefined || this.current.models.some((entry) => entry.id === model);
   }
 
-  /** Takes an order unless a newer one is known. */
+  /** Applies an order unless a newer one was applied before; returns whether it did. */
   apply(order: EngineOrderBody): boolean {
     if (this.current && order.fence < this.current.fence) return false;
     this.current = order;
     return true;
   }
 
-  /** Loads what the current order names and is not loaded yet. */
+  /** Loads the models and adapters of the current order that are not loaded yet. */
   async loadModels(): Promise<void> {
     for (const { id, version, adapters } of this.current?.models ?? []) {
-      for (const part of [id, ...adapters]) await this.loadOne(`${part}@${version}`);
+      for (const artifact of [id, ...adapters]) await this.loadArtifact(`${artifact}@${version}`);
     }
   }
 
-  private async loadOne(key: string): Promise<void> {
+  private async loadArtifact(key: string): Promise<void> {
     if (this.loaded.has(key)) return;
     if (this.weightStore !== undefined) {
       const response = await request(`http://${this.weightStore}/v1/weights/${key}`);
--- a/emulator/engine/engine-runner.ts
+++ b/emulator/engine/engine-runner.ts
@@ -1,4 +1,4 @@
-/** Runs the engine model against the wall clock. */
+/** Runs the engine model in real time. */
 import { SignalEvent, monotonicMs, sleep } from '../../src/common/index.js';
 import type { EngineModel, LoadReport } from '../model/engine-model.js';
 
@@ -11,7 +11,7 @@
 }
 
 export class EngineRunner {
-  private readonly wake = new SignalEvent();
+  private readonly workSignal = new SignalEvent();
   private readonly stopping = new AbortController();
   private samples: LoadSample[] = [];
 
@@ -23,17 +23,17 @@
     void this.run();
   }
 
-  /** Tells that there is work. */
+  /** Wakes the run loop after a request was submitted. */
   notify(): void {
-    this.wake.notify();
+    this.workSignal.notify();
   }
 
   stop(): void {
     this.stopping.abort();
-    this.wake.notify();
+    this.workSignal.notify();
   }
 
-  /** The load as it was some time ago, as real engines report it. */
+  /** The load as of `loadReportLagMs` ago: load reports of real engines are stale, too. */
   laggingLoad(): LoadReport {
     const visibleUntil = monotonicMs() - this.loadReportLagMs;
     const sample = this.samples.findLast((candidate) => candidate.atMs <= visibleUntil);
@@ -41,20 +41,20 @@
   }
 
   private async run(): Promise<void> {
-    let due = monotonicMs();
+    let dueMs = monotonicMs();
     while (!this.stopping.signal.aborted) {
       this.sampleLoad();
       const durationMs = this.model.step();
       if (durationMs > 0) {
-        // Steps are due one after the other, so that late timers do not add up.
-        due = Math.max(due + durationMs * this.timeScale, monotonicMs() - IDLE_TICK_MS);
-        await sleep(Math.max(0, due - monotonicMs()), this.stopping.signal);
+        // Each step is scheduled relative to the previous due time, so that timer delays don't add up.
+        dueMs = Math.max(dueMs + durationMs * this.timeScale, monotonicMs() - IDLE_TICK_MS);
+        await sleep(Math.max(0, dueMs - monotonicMs()), this.stopping.signal);
         continue;
       }
-      const idleSince = monotonicMs();
-      await this.wake.waitWithTimeout(IDLE_TICK_MS);
-      due = monotonicMs();
-      this.model.idle((due - idleSince) / this.timeScale);
+      const idleSinceMs = monotonicMs();
+      await this.workSignal.waitWithTimeout(IDLE_TICK_MS);
+      dueMs = monotonicMs();
+      this.model.idle((dueMs - idleSinceMs) / this.timeScale);
     }
   }
 
--- a/emulator/engine/engine-server.test.ts
+++ b/emulator/engine/engine-server.test.ts
@@ -1,4 +1,4 @@
-/** The emulated engine over HTTP: streams, fences, draining, ceilings, moving cached prefixes. */
+/** HTTP interface of the emulated engine. */
 import { request } from 'undici';
 import { describe, expect, it, onTestFinished } from 'vitest';
 import { EventParser } from '../../src/http/index.js';
@@ -18,7 +18,7 @@
   prompt_tokens_details: { cached_tokens: number };
 }
 
-interface Piece {
+interface Chunk {
   choices: [{ delta: { content?: string } }];
   usage?: Usage;
 }
@@ -40,27 +40,30 @@
   return { status: response.statusCode, text: await response.body.text() };
 }
 
-function completion(change: object = {}): object {
+function completionBody(overrides: object = {}): object {
   const call = { tenant: 't', program: 'p', sequence: 1, attempt: 1, cost_ceiling: 100_000 };
-  const ledgegauge = { ...call, ...change };
+  const ledgegauge = { ...call, ...overrides };
   return { model: 'm', messages: MESSAGES, max_tokens: MAX_TOKENS, ledgegauge };
 }
 
 function readStream(text: string): { content: string; usage: Usage } {
   const events = new EventParser().push(text).filter((event) => event.data !== '[DONE]');
-  const pieces = events.map((event) => JSON.parse(event.data) as Piece);
-  const content = pieces.map((piece) => piece.choices[0].delta.content ?? '').join('');
-  return { content, usage: pieces.at(-1)!.usage! };
+  const chunks = events.map((event) => JSON.parse(event.data) as Chunk);
+  const content = chunks.map((piece) => piece.choices[0].delta.content ?? '').join('');
+  return { content, usage: chunks.at(-1)!.usage! };
 }
 
-async function complete(url: string, change: object = {}): Promise<ReturnType<typeof readStream>> {
-  const answer = await post(`${url}/v1/chat/completions`, completion(change));
-  expect(answer.status).toBe(200);
-  return readStream(answer.text);
+async function complete(
+  url: string,
+  overrides: object = {},
+): Promise<ReturnType<typeof readStream>> {
+  const response = await post(`${url}/v1/chat/completions`, completionBody(overrides));
+  expect(response.status).toBe(200);
+  return readStream(response.text);
 }
 
-describe('the engine', () => {
-  it('streams the answer, whole or from a position, as long as it keeps the stream', async () => {
+describe('EngineServer', () => {
+  it('streams an answer from the start or from an offset while the stream is retained', async () => {
     const url = await startEngine();
     const { content } = await complete(url);
     expect(content).toBe(expectedAnswer('m', MESSAGES, MAX_TOKENS));
@@ -71,7 +74,7 @@
     await unknown.body.dump();
   });
 
-  it('has health and metrics pages', async () => {
+  it('serves health and metrics endpoints', async () => {
     const url = await startEngine();
     await complete(url);
     const health = await request(`${url}/healthz`);
@@ -82,31 +85,37 @@
     expect(metrics).toContain('process_cpu_seconds_total');
   });
 
-  it('refuses attempts older than one it knows, and more than the ceiling', async () => {
+  it('rejects stale attempts and requests over the cost ceiling', async () => {
     const url = await startEngine();
     await complete(url, { attempt: 2 });
-    const old = await post(`${url}/v1/chat/completions`, completion({ attempt: 1 }));
-    expect([old.status, JSON.parse(old.text)]).toMatchObject([409, { code: 'fenced' }]);
-    const dear = await post(`${url}/v1/chat/completions`, completion({ cost_ceiling: 10 }));
-    expect([dear.status, JSON.parse(dear.text)]).toMatchObject([422, { code: 'over_ceiling' }]);
+    const stale = await post(`${url}/v1/chat/completions`, completionBody({ attempt: 1 }));
+    expect([stale.status, JSON.parse(stale.text)]).toMatchObject([409, { code: 'fenced' }]);
+    const overCeiling = await post(
+      `${url}/v1/chat/completions`,
+      completionBody({ cost_ceiling: 10 }),
+    );
+    expect([overCeiling.status, JSON.parse(overCeiling.text)]).toMatchObject([
+      422,
+      { code: 'over_ceiling' },
+    ]);
   });
 
-  it('takes no new work while draining, and no order with an old fence', async () => {
+  it('rejects new requests while draining, and orders with a stale fence', async () => {
     const url = await startEngine();
     const models = [{ id: 'm', version: 'v1', adapters: [] }];
     await post(`${url}/v1/orders`, { fence: 7, role: 'draining', models });
-    const refused = await post(`${url}/v1/chat/completions`, completion());
+    const refused = await post(`${url}/v1/chat/completions`, completionBody());
     expect([refused.status, JSON.parse(refused.text)]).toMatchObject([
       503,
       { code: 'draining', outcome: 'not_run', retry_after_ms: expect.any(Number) as number },
     ]);
-    const old = await post(`${url}/v1/orders`, { fence: 6, role: 'active', models });
-    expect(old.status).toBe(409);
+    const stale = await post(`${url}/v1/orders`, { fence: 6, role: 'active', models });
+    expect(stale.status).toBe(409);
     await post(`${url}/v1/orders`, { fence: 8, role: 'active', models });
     await complete(url);
   });
 
-  it('moves a cached prefix to another engine, at its bandwidth', async () => {
+  it('transfers a cached prefix to another engine at the configured bandwidth', async () => {
     const [first, second] = [await startEngine(), await startEngine()];
     await complete(first);
     const prefix = { tenant: 't', program: 'p', model: 'm', messages: MESSAGES };
@@ -114,7 +123,7 @@
     const exported = await post(`${first}/v1/kv/export`, prefix);
     const { hashes } = JSON.parse(exported.text) as { hashes: string[] };
     expect(hashes.length).toBeGreaterThan(10);
-    // 64 tokens a block, half a millisecond of model time a token.
+    // 64 tokens per block, 0.5 ms of model time per token.
     const expectedMs = hashes.length * 64 * SLOW_TRANSFER_MS * TIME_SCALE;
     expect(performance.now() - startedAt).toBeGreaterThanOrEqual(expectedMs - 1);
     await post(`${second}/v1/kv/import`, { program: 'p', hashes });
--- a/emulator/engine/engine-server.ts
+++ b/emulator/engine/engine-server.ts
@@ -1,4 +1,4 @@
-/** The emulated engine as a process: its HTTP interface. */
+/** HTTP interface of the emulated engine. */
 import type { ServerResponse } from 'node:http';
 import { z } from 'zod';
 import { countMessageTokens, monotonicMs, sleep } from '../../src/common/index.js';
@@ -28,7 +28,7 @@
 
 const MAX_BODY_BYTES = 64 * 1024 * 1024;
 const RETRY_AFTER_MS = 200;
-/** A comment in the stream, which tells that the engine lives while a request waits. */
+/** SSE comment that keeps the stream alive while a request waits. */
 const KEEP_ALIVE = ': keep-alive\n\n';
 const KEEP_ALIVE_INTERVAL_MS = 1_000;
 
@@ -43,7 +43,7 @@
     program: z.string(),
     sequence: z.number().int().min(1),
     attempt: z.number().int().min(1),
-    /** Refuse rather than spend more, in tokens. */
+    /** Maximum cost in tokens; a request that may exceed it is rejected. */
     cost_ceiling: z.number().int().min(1),
     hold_ms: z.number().min(0).default(0),
   }),
@@ -56,14 +56,14 @@
   messages: z.array(messageSchema).min(1),
 });
 
-/** When memory of a program was dropped on request, for those who check the whole system. */
+/** Release of a program's cache memory; read by the consistency checks. */
 export interface ReleaseRecord {
   program: string;
   blocks: number;
   wallClockMs: number;
 }
 
-/** The latest completion that arrived, for those who check draining. */
+/** Arrival of a completion request; read by the checks of draining. */
 export interface ArrivalRecord {
   tenant: string;
   program: string;
@@ -77,12 +77,12 @@
   private readonly model: EngineModel;
   private readonly runner: EngineRunner;
   private readonly feed: CacheEventFeed;
-  private readonly orders: EngineOrderState;
+  private readonly orderState: EngineOrderState;
   private readonly faults = new FaultInjector();
   private readonly releases: ReleaseRecord[] = [];
   private readonly arrivals: ArrivalRecord[] = [];
-  /** The last of the KV transfers under way. */
-  private transfers: Promise<void> = Promise.resolve();
+  /** Settles after the last KV transfer that was started. */
+  private lastTransfer: Promise<void> = Promise.resolve();
   private server!: HttpServer;
 
   private constructor(
@@ -102,7 +102,7 @@
         }),
     });
     this.runner = new EngineRunner(this.model, settings.timeScale, settings.loadReportLag);
-    this.orders = new EngineOrderState(settings.weightStore);
+    this.orderState = new EngineOrderState(settings.weightStore);
   }
 
   static async start(settings: EngineSettings, logger: Logger): Promise<EngineServer> {
@@ -133,7 +133,7 @@
       .on('POST', '/v1/releases', (exchange) => this.release(exchange))
       .on('GET', '/v1/programs', (exchange) => this.listPrograms(exchange))
       .on('GET', '/v1/load', async ({ response }) =>
-        sendJson(response, 200, { ...this.runner.laggingLoad(), role: this.orders.role }),
+        sendJson(response, 200, { ...this.runner.laggingLoad(), role: this.orderState.role }),
       )
       .on('GET', '/v1/cache-events', async ({ response, query }) =>
         sendJson(response, 200, this.feed.pageAfter(Number(query.get('after') ?? 0))),
@@ -147,10 +147,10 @@
         sendJson(response, 200, {});
       });
     addStatusPages(router, [
-      { name: 'arrivals', help: 'Requests taken so far', read: () => this.arrivals.length },
+      { name: 'arrivals', help: 'Requests accepted so far', read: () => this.arrivals.length },
       {
         name: 'used_blocks',
-        help: 'Blocks of memory in use',
+        help: 'Cache blocks in use',
         read: () => this.model.cache.usedBlocks,
       },
       {
@@ -168,8 +168,8 @@
     if (await this.faults.applyBeforeResponse(response)) return;
     const body = parsed.data;
     const { tenant, program, sequence, attempt, cost_ceiling, hold_ms } = body.ledgegauge;
-    if (!this.orders.serves(body.model))
-      throw badRequestProblem('model is not loaded', 'no_model', 404);
+    if (!this.orderState.serves(body.model))
+      throw badRequestProblem('requested model is not loaded', 'no_model', 404);
     const promptTokens = countMessageTokens(body.messages);
     if (promptTokens + body.max_tokens > cost_ceiling) {
       throw badRequestProblem('prompt and max_tokens exceed the cost ceiling', 'over_ceiling', 422);
@@ -186,15 +186,21 @@
       priority: body.priority,
       holdMs: hold_ms / this.settings.timeScale,
     };
-    const isDraining = this.orders.role === 'draining';
+    const isDraining = this.orderState.role === 'draining';
     if (isDraining && !this.model.findStream(program, sequence)) {
-      throw refusal('draining', 'this engine takes no new work');
+      throw unavailableProblem('draining', 'engine is draining and accepts no new requests');
     }
     const result = this.model.submit(engineRequest);
     if (result.kind === 'fenced')
       throw badRequestProblem('a newer attempt is known', 'fenced', 409);
-    if (result.kind === 'too-long') throw badRequestProblem('prompt is too long', 'too_long', 422);
-    if (result.kind === 'overloaded') throw refusal('overloaded', 'the queue is full');
+    if (result.kind === 'too-long')
+      throw badRequestProblem(
+        'prompt and max_tokens exceed the memory of the engine',
+        'too_long',
+        422,
+      );
+    if (result.kind === 'overloaded')
+      throw unavailableProblem('overloaded', 'request queue is full');
     const arrival = { tenant, program, sequence, attempt, promptTokens, wallClockMs: Date.now() };
     this.arrivals.push(arrival);
     const { name } = this.settings.node;
@@ -218,17 +224,17 @@
     sendJson(response, 200, { cancelled });
   }
 
-  /** Sends what a sequence has generated from `offset` on, and goes on until it ends. */
+  /** Streams the generated text from `offset` on, until the sequence ends. */
   private stream(response: ServerResponse, sequence: EngineSequence, offset: number): void {
     response.writeHead(200, { 'content-type': 'text/event-stream' });
     const { program, sequence: number, model } = sequence.request;
     const id = `${program}#${number}`;
     let sent = offset;
     const send = (): void => {
-      const fresh = sequence.text.slice(sent);
-      if (fresh.length > 0) {
-        sent += fresh.length;
-        const delta = { choices: [{ index: 0, delta: { content: fresh } }], id, model };
+      const newText = sequence.text.slice(sent);
+      if (newText.length > 0) {
+        sent += newText.length;
+        const delta = { choices: [{ index: 0, delta: { content: newText } }], id, model };
         const data = this.faults.corruptChunk(JSON.stringify(delta));
         response.write(formatEvent({ id: String(sent), data }));
         if (this.faults.shouldCutStream()) response.destroy();
@@ -250,7 +256,7 @@
 
   private endStream(response: ServerResponse, sequence: EngineSequence): void {
     const { promptTokens, cachedTokens, outputTokens } = sequence.usage;
-    const last = {
+    const finalChunk = {
       choices: [{ index: 0, delta: {}, finish_reason: sequence.answer.finishReason }],
       usage: {
         prompt_tokens: promptTokens,
@@ -260,7 +266,7 @@
       ledgegauge: { load: this.runner.laggingLoad() },
     };
     const length = sequence.answer.text.length;
-    response.write(formatEvent({ id: String(length), data: JSON.stringify(last) }));
+    response.write(formatEvent({ id: String(length), data: JSON.stringify(finalChunk) }));
     response.end(formatEvent({ data: '[DONE]' }));
   }
 
@@ -281,10 +287,10 @@
   private async order({ request, response }: HttpExchange): Promise<void> {
     const parsed = orderSchema.safeParse(await readJson(request, MAX_BODY_BYTES));
     if (!parsed.success) throw badRequestProblem(parsed.error.message);
-    if (!this.orders.apply(parsed.data))
-      throw badRequestProblem('a newer order is known', 'fenced', 409);
+    if (!this.orderState.apply(parsed.data))
+      throw badRequestProblem('a newer order was applied already', 'fenced', 409);
     this.logger.info('order taken', { fence: parsed.data.fence, role: parsed.data.role });
-    await this.orders.loadModels();
+    await this.orderState.loadModels();
     sendJson(response, 200, { fence: parsed.data.fence });
   }
 
@@ -305,11 +311,11 @@
     sendJson(response, 200, { stored: body.hashes.length });
   }
 
-  /** Takes the time that blocks need on their way; transfers of one engine follow each other. */
+  /** Simulates the duration of a KV transfer; an engine runs one transfer at a time. */
   private transfer(blocks: number): Promise<void> {
     const durationMs = this.model.transferMs(blocks * BLOCK_TOKENS) * this.settings.timeScale;
-    this.transfers = this.transfers.then(() => sleep(durationMs));
-    return this.transfers;
+    this.lastTransfer = this.lastTransfer.then(() => sleep(durationMs));
+    return this.lastTransfer;
   }
 
   private async readRecords({ response }: HttpExchange): Promise<void> {
@@ -323,7 +329,7 @@
   }
 }
 
-function refusal(code: string, detail: string): HttpProblem {
+function unavailableProblem(code: string, detail: string): HttpProblem {
   return new HttpProblem({
     status: 503,
     code,
--- a/emulator/engine/engine-settings.ts
+++ b/emulator/engine/engine-settings.ts
@@ -14,7 +14,7 @@
 export const engineSettingsSchema = z.strictObject({
   node: nodeSettingsSchema,
   listen: z.strictObject({ host: z.string().default('127.0.0.1'), port }),
-  /** Wall-clock time of one unit of model time; 0.1 runs ten times as fast. */
+  /** Ratio of wall-clock time to model time; 0.1 runs ten times as fast. */
   timeScale: positive.max(10).default(1),
   loadReportLag: durationWithDefault('100ms'),
   cacheEvents: z
@@ -37,9 +37,9 @@
       streamRetentionMs: positive.default(defaults.streamRetentionMs),
     })
     .prefault({}),
-  /** File that every arrival and execution is appended to, for checks after a crash. */
+  /** File to which every arrival and execution is appended, for checks after a crash. */
   recordFile: z.string().optional(),
-  /** Address of the weight store to load models from; without one, models are there at once. */
+  /** Address of the weight store to load models from; if absent, models load instantly. */
   weightStore: z.string().optional(),
   log: logSettingsSchema.prefault({}),
 });
--- a/emulator/engine/fault-injector.ts
+++ b/emulator/engine/fault-injector.ts
@@ -1,10 +1,10 @@
-/** Ways in which an emulated engine misbehaves on request of a test. */
+/** Faults that tests inject into the responses of an emulated engine. */
 import type { ServerResponse } from 'node:http';
 import { z } from 'zod';
 
 export const faultModeSchema = z.object({
   mode: z.enum(['none', 'rubbish', 'half-event', 'nothing', 'cut']),
-  /** How many answers are affected. */
+  /** Number of responses to affect. */
   count: z.number().int().min(0).default(1),
 });
 
@@ -17,7 +17,7 @@
     this.settings = settings;
   }
 
-  /** Answers instead of the engine, if the mode says so; returns whether it did. */
+  /** Ends the response in place of the engine if the mode requires it; returns whether it did. */
   async applyBeforeResponse(response: ServerResponse): Promise<boolean> {
     const { mode } = this.settings;
     if (mode === 'nothing' && this.consume()) {
--- a/emulator/fault-proxy/fault-proxy-settings.ts
+++ b/emulator/fault-proxy/fault-proxy-settings.ts
@@ -2,22 +2,22 @@
 import { z } from 'zod';
 import { address, logSettingsSchema, nodeSettingsSchema, port } from '../../src/settings/index.js';
 
-/** What happens to the bytes of one direction of a link. */
+/** Faults of one direction of a link. */
 export const directionFaultSchema = z.strictObject({
-  /** Bytes vanish; the connection stays up. */
+  /** Discards all bytes; the connection stays open. */
   drop: z.boolean().default(false),
   delayMs: z.number().min(0).default(0),
   jitterMs: z.number().min(0).default(0),
-  /** Slow drip: at most this many bytes a second; 0 for no limit. */
+  /** Bandwidth limit in bytes per second; 0 for no limit. */
   bytesPerSecond: z.number().min(0).default(0),
 });
 
 export const linkFaultSchema = z.strictObject({
-  /** Existing connections are closed and new ones refused. */
+  /** Resets existing and new connections. */
   cut: z.boolean().default(false),
-  /** New connections are accepted but nothing is ever carried. */
+  /** Accepts new connections but never forwards their bytes. */
   halfOpen: z.boolean().default(false),
-  /** The next connections are reset after this many bytes towards the target; 0 for never. */
+  /** Resets a connection after this many bytes towards the target; 0 for never. */
   resetAfterBytes: z.number().min(0).default(0),
   toTarget: directionFaultSchema.prefault({}),
   toClient: directionFaultSchema.prefault({}),
@@ -29,11 +29,11 @@
 export const linkSchema = z.strictObject({
   /** Name of the link, for example `zone-a>control-2`. */
   id: z.string().min(1),
-  /** Where the link listens. @default the proxy's host */
+  /** Listen host of the link. @default the proxy's host */
   host: z.string().optional(),
   port,
   target: address,
-  /** Delay of the link while there is no fault, each way. */
+  /** One-way delay of the link without faults, in milliseconds. */
   baseDelayMs: z.number().min(0).default(0),
 });
 
--- a/emulator/fault-proxy/fault-proxy.test.ts
+++ b/emulator/fault-proxy/fault-proxy.test.ts
@@ -1,4 +1,4 @@
-/** The fault proxy on real sockets: what each fault does to a connection. */
+/** Effect of each fault on connections over real sockets. */
 import { type AddressInfo, type Socket, connect, createServer } from 'node:net';
 import { request } from 'undici';
 import { describe, expect, it, onTestFinished } from 'vitest';
@@ -17,7 +17,7 @@
   isClosed: boolean;
 }
 
-/** A proxy before a server that sends back what it gets. */
+/** Starts a proxy in front of an echo server. */
 async function startProxy(): Promise<{ port: number; setFault: (fault: object) => Promise<void> }> {
   const echo = createServer((socket) => {
     socket.on('error', () => undefined);
@@ -61,7 +61,7 @@
   return ports;
 }
 
-function open(port: number): Connection {
+function openConnection(port: number): Connection {
   const connection: Connection = {
     socket: connect({ host: HOST, port }),
     received: '',
@@ -74,35 +74,35 @@
   return connection;
 }
 
-const direction = { drop: false, delayMs: 0, jitterMs: 0, bytesPerSecond: 0 };
+const NO_DIRECTION_FAULT = { drop: false, delayMs: 0, jitterMs: 0, bytesPerSecond: 0 };
 
-describe('the fault proxy', () => {
-  it('carries bytes both ways while there is no fault', async () => {
+describe('FaultProxy', () => {
+  it('forwards bytes in both directions without a fault', async () => {
     const { port } = await startProxy();
-    const connection = open(port);
+    const connection = openConnection(port);
     connection.socket.write('hello');
     await waitUntil('echo', () => connection.received === 'hello');
   });
 
-  it('cuts connections and refuses new ones', async () => {
+  it('resets existing and new connections while the link is cut', async () => {
     const { port, setFault } = await startProxy();
-    const old = open(port);
-    old.socket.write('x');
-    await waitUntil('echo', () => old.received === 'x');
+    const existing = openConnection(port);
+    existing.socket.write('x');
+    await waitUntil('echo', () => existing.received === 'x');
     await setFault({ cut: true });
-    await waitUntil('closed', () => old.isClosed);
-    const fresh = open(port);
-    await waitUntil('refused', () => fresh.isClosed);
+    await waitUntil('closed', () => existing.isClosed);
+    const newConnection = openConnection(port);
+    await waitUntil('refused', () => newConnection.isClosed);
   });
 
-  it('drops in silence, and resets what lost bytes when the cut ends', async () => {
+  it('drops bytes silently, then resets connections that lost bytes', async () => {
     const { port, setFault } = await startProxy();
-    const connection = open(port);
+    const connection = openConnection(port);
     connection.socket.write('1');
     await waitUntil('echo', () => connection.received === '1');
-    await setFault({ toTarget: { ...direction, drop: true } });
+    await setFault({ toTarget: { ...NO_DIRECTION_FAULT, drop: true } });
     connection.socket.write('2');
-    const other = open(port);
+    const other = openConnection(port);
     await waitUntil('connected', () => !other.socket.connecting);
     expect([connection.received, connection.isClosed]).toEqual(['1', false]);
     await setFault({});
@@ -112,10 +112,10 @@
     await waitUntil('echo', () => other.received === '3');
   });
 
-  it('delays', async () => {
+  it('delays bytes', async () => {
     const { port, setFault } = await startProxy();
-    await setFault({ toTarget: { ...direction, delayMs: 80 } });
-    const connection = open(port);
+    await setFault({ toTarget: { ...NO_DIRECTION_FAULT, delayMs: 80 } });
+    const connection = openConnection(port);
     const startedAt = performance.now();
     connection.socket.write('late');
     await waitUntil('echo', () => connection.received === 'late');
@@ -125,7 +125,7 @@
   it('resets in the middle of a message', async () => {
     const { port, setFault } = await startProxy();
     await setFault({ resetAfterBytes: 10 });
-    const connection = open(port);
+    const connection = openConnection(port);
     connection.socket.write('12345');
     await waitUntil('echo', () => connection.received === '12345');
     connection.socket.write('67890abc');
@@ -133,16 +133,16 @@
     expect(connection.received).toBe('12345');
   });
 
-  it('accepts without carrying anything when half open', async () => {
+  it('accepts half-open connections without forwarding bytes', async () => {
     const { port, setFault } = await startProxy();
     await setFault({ halfOpen: true });
-    const connection = open(port);
+    const connection = openConnection(port);
     await waitUntil('connected', () => !connection.socket.connecting);
     connection.socket.write('x');
     await setFault({});
-    const fresh = open(port);
-    fresh.socket.write('y');
-    await waitUntil('echo', () => fresh.received === 'y');
+    const newConnection = openConnection(port);
+    newConnection.socket.write('y');
+    await waitUntil('echo', () => newConnection.received === 'y');
     expect(connection.received).toBe('');
   });
 });
--- a/emulator/fault-proxy/fault-proxy.ts
+++ b/emulator/fault-proxy/fault-proxy.ts
@@ -1,4 +1,4 @@
-/** A proxy that carries TCP links and makes them fail on request, each link by itself. */
+/** TCP proxy that injects faults into its links on request, each link independently. */
 import { type Server, createServer } from 'node:net';
 import { z } from 'zod';
 import { addStatusPages } from '../status-pages.js';
@@ -22,7 +22,7 @@
 const NO_FAULT: LinkFault = linkFaultSchema.parse({});
 
 const faultRequestSchema = z.strictObject({
-  /** Links by name; `*` stands for any text. */
+  /** Link names; `*` matches any text. */
   links: z.array(z.string()),
   fault: linkFaultSchema.prefault({}),
 });
@@ -63,7 +63,7 @@
   setFault(fault: LinkFault): void {
     this.fault = fault;
     if (fault.cut) this.resetConnections();
-    else if (!fault.toTarget.drop && !fault.toClient.drop) this.resetBrokenConnections();
+    else if (!fault.toTarget.drop && !fault.toClient.drop) this.resetConnectionsWithLoss();
   }
 
   close(): void {
@@ -71,9 +71,9 @@
     this.resetConnections();
   }
 
-  /** After a silent cut: TCP cannot go on where bytes are missing for good. */
-  private resetBrokenConnections(): void {
-    for (const connection of [...this.connections]) if (connection.isBroken) connection.reset();
+  /** Resets connections that lost bytes to a drop fault: their TCP stream can't continue. */
+  private resetConnectionsWithLoss(): void {
+    for (const connection of [...this.connections]) if (connection.hasLostBytes) connection.reset();
   }
 
   private resetConnections(): void {
@@ -109,12 +109,12 @@
   }
 
   /**
-   * Changes the fault of links.
-   * @param names `*` stands for any text
-   * @returns how many links were changed
+   * Sets the fault of the matching links.
+   * @param names link names; `*` matches any text
+   * @returns number of links changed
    */
   setFault(names: string[], fault: LinkFault): number {
-    const changed = this.matching(names);
+    const changed = this.matchLinks(names);
     for (const link of changed) link.setFault(fault);
     this.logger.info('fault set', { links: names.join(','), count: changed.length });
     return changed.length;
@@ -138,16 +138,16 @@
     return router;
   }
 
-  private matching(patterns: string[]): Link[] {
-    const expressions = patterns.map(
-      (pattern) => new RegExp(`^${pattern.split('*').map(escapeExpression).join('.*')}$`),
+  private matchLinks(patterns: string[]): Link[] {
+    const regExps = patterns.map(
+      (pattern) => new RegExp(`^${pattern.split('*').map(escapeRegExp).join('.*')}$`),
     );
     return [...this.links.values()].filter(({ settings }) =>
-      expressions.some((expression) => expression.test(settings.id)),
+      regExps.some((regExp) => regExp.test(settings.id)),
     );
   }
 }
 
-function escapeExpression(text: string): string {
+function escapeRegExp(text: string): string {
   return text.replace(/[.*+?^${}()|[\]\\]/g, '\\$&');
 }
--- a/emulator/fault-proxy/proxied-connection.ts
+++ b/emulator/fault-proxy/proxied-connection.ts
@@ -1,13 +1,13 @@
-/** One connection through the proxy: two directions, each with its own delay and faults. */
+/** One proxied connection: two directions, each with its own delay and faults. */
 import { type Socket, connect } from 'node:net';
 import { parseAddress } from '../../src/wire/index.js';
 import type { DirectionFault, LinkFault } from './fault-proxy-settings.js';
 
 const MS_PER_SECOND = 1_000;
-/** Bytes held back in one direction before the sender is made to wait. */
-const MAX_HELD_BYTES = 4 * 1024 * 1024;
-/** Chunks due within this time go out now; timers are no finer. */
-const TIMER_SLACK_MS = 0.5;
+/** Bytes queued in one direction before the sender is paused. */
+const MAX_QUEUED_BYTES = 4 * 1024 * 1024;
+/** Chunks due within this time are written immediately, because timers are not more precise. */
+const TIMER_TOLERANCE_MS = 0.5;
 
 export interface LinkConditions {
   fault: LinkFault;
@@ -17,7 +17,7 @@
 export class ProxiedConnection {
   private readonly target: Socket;
   private readonly pipes: DelayedPipe[] = [];
-  private carriedToTarget = 0;
+  private bytesToTarget = 0;
 
   constructor(
     private readonly client: Socket,
@@ -28,23 +28,23 @@
     const { host, port } = parseAddress(targetAddress);
     this.target = connect({ host, port, noDelay: true });
     client.setNoDelay(true);
-    this.carry(client, this.target, () => this.conditions().fault.toTarget, true);
-    this.carry(this.target, client, () => this.conditions().fault.toClient, false);
+    this.pipe(client, this.target, () => this.conditions().fault.toTarget, true);
+    this.pipe(this.target, client, () => this.conditions().fault.toClient, false);
   }
 
-  /** Whether bytes of the stream vanished, so that it cannot go on as a TCP stream. */
-  get isBroken(): boolean {
+  /** Whether bytes were dropped, so that the TCP stream can't continue. */
+  get hasLostBytes(): boolean {
     return this.pipes.some((pipe) => pipe.hasLostBytes);
   }
 
-  /** Ends the connection on both sides by a reset. */
+  /** Resets the connection on both sides. */
   reset(): void {
     this.client.resetAndDestroy();
     this.target.resetAndDestroy();
     this.onClosed(this);
   }
 
-  private carry(
+  private pipe(
     from: Socket,
     to: Socket,
     fault: () => DirectionFault,
@@ -53,7 +53,7 @@
     const pipe = new DelayedPipe(from, to, fault, () => this.conditions().baseDelayMs);
     this.pipes.push(pipe);
     from.on('data', (chunk: Buffer) => {
-      if (isTowardsTarget && this.exceedsReset(chunk.length)) this.reset();
+      if (isTowardsTarget && this.exceedsResetThreshold(chunk.length)) this.reset();
       else pipe.push(chunk);
     });
     from.on('end', () => pipe.end());
@@ -64,23 +64,23 @@
     });
   }
 
-  private exceedsReset(bytes: number): boolean {
-    this.carriedToTarget += bytes;
+  private exceedsResetThreshold(bytes: number): boolean {
+    this.bytesToTarget += bytes;
     const { resetAfterBytes } = this.conditions().fault;
-    return resetAfterBytes > 0 && this.carriedToTarget > resetAfterBytes;
+    return resetAfterBytes > 0 && this.bytesToTarget > resetAfterBytes;
   }
 }
 
-interface HeldChunk {
+interface QueuedChunk {
   dueMs: number;
-  /** Undefined: the sender has ended. */
+  /** Undefined for the end of the stream. */
   chunk: Buffer | undefined;
 }
 
-/** Passes chunks on in their order, each not before its time. */
+/** Forwards chunks in order, each no earlier than its due time. */
 class DelayedPipe {
-  private readonly held: HeldChunk[] = [];
-  private heldBytes = 0;
+  private readonly queue: QueuedChunk[] = [];
+  private queuedBytes = 0;
   private lastDueMs = 0;
   private hasEnded = false;
   private timer: NodeJS.Timeout | undefined;
@@ -97,38 +97,38 @@
     const { drop, delayMs, jitterMs, bytesPerSecond } = this.fault();
     this.hasLostBytes ||= drop;
     if (this.hasLostBytes) return;
-    const dripMs = bytesPerSecond > 0 ? (chunk.length / bytesPerSecond) * MS_PER_SECOND : 0;
-    const wanted = performance.now() + this.baseDelayMs() + delayMs + Math.random() * jitterMs;
-    this.lastDueMs = Math.max(wanted, this.lastDueMs) + dripMs;
-    this.heldBytes += chunk.length;
-    if (this.heldBytes > MAX_HELD_BYTES) this.from.pause();
-    this.held.push({ dueMs: this.lastDueMs, chunk });
-    this.passOn();
+    const transmissionMs = bytesPerSecond > 0 ? (chunk.length / bytesPerSecond) * MS_PER_SECOND : 0;
+    const earliestMs = performance.now() + this.baseDelayMs() + delayMs + Math.random() * jitterMs;
+    this.lastDueMs = Math.max(earliestMs, this.lastDueMs) + transmissionMs;
+    this.queuedBytes += chunk.length;
+    if (this.queuedBytes > MAX_QUEUED_BYTES) this.from.pause();
+    this.queue.push({ dueMs: this.lastDueMs, chunk });
+    this.flush();
   }
 
   end(): void {
     if (this.hasEnded) return;
     this.hasEnded = true;
-    this.held.push({ dueMs: this.lastDueMs, chunk: undefined });
-    this.passOn();
+    this.queue.push({ dueMs: this.lastDueMs, chunk: undefined });
+    this.flush();
   }
 
-  private passOn(): void {
-    const limit = performance.now() + TIMER_SLACK_MS;
-    while (this.held.length > 0 && this.held[0]!.dueMs <= limit) {
-      this.release(this.held.shift()!.chunk);
+  private flush(): void {
+    const limit = performance.now() + TIMER_TOLERANCE_MS;
+    while (this.queue.length > 0 && this.queue[0]!.dueMs <= limit) {
+      this.write(this.queue.shift()!.chunk);
     }
-    if (this.held.length === 0 || this.timer) return;
+    if (this.queue.length === 0 || this.timer) return;
     this.timer = setTimeout(() => {
       this.timer = undefined;
-      this.passOn();
-    }, this.held[0]!.dueMs - performance.now());
+      this.flush();
+    }, this.queue[0]!.dueMs - performance.now());
   }
 
-  private release(chunk: Buffer | undefined): void {
+  private write(chunk: Buffer | undefined): void {
     if (chunk) {
-      this.heldBytes -= chunk.length;
-      if (this.heldBytes <= MAX_HELD_BYTES) this.from.resume();
+      this.queuedBytes -= chunk.length;
+      if (this.queuedBytes <= MAX_QUEUED_BYTES) this.from.resume();
     }
     if (this.to.destroyed) return;
     if (chunk) this.to.write(chunk);
--- a/emulator/machines/machines-server.ts
+++ b/emulator/machines/machines-server.ts
@@ -1,4 +1,4 @@
-/** The emulated platform's list of live and leaving machines, which lags behind the truth. */
+/** Emulates the platform's list of live and leaving machines, which shows changes with a delay. */
 import { z } from 'zod';
 import { addStatusPages } from '../status-pages.js';
 import { HttpRouter, HttpServer, readJson, sendJson } from '../../src/http/index.js';
@@ -13,7 +13,7 @@
 export const machinesSettingsSchema = z.strictObject({
   node: nodeSettingsSchema,
   listen: z.strictObject({ host: z.string().default('127.0.0.1'), port }),
-  /** How late a change is seen. */
+  /** Delay until a change becomes visible. */
   lag: durationWithDefault('1s'),
   log: logSettingsSchema.prefault({}),
 });
@@ -23,12 +23,12 @@
 const MAX_BODY_BYTES = 1024 * 1024;
 const machineSchema = z.object({ id: z.string(), state: z.enum(['live', 'leaving', 'gone']) });
 
-interface TimedMachine extends z.infer<typeof machineSchema> {
+interface DelayedMachine extends z.infer<typeof machineSchema> {
   visibleAtMs: number;
 }
 
 export class MachinesServer {
-  private readonly changes: TimedMachine[] = [];
+  private readonly changes: DelayedMachine[] = [];
 
   private constructor(private readonly server: HttpServer) {}
 
@@ -49,7 +49,7 @@
         sendJson(response, 200, {});
       })
       .on('GET', '/v1/machines', async ({ response }) =>
-        sendJson(response, 200, { machines: machines.visible() }),
+        sendJson(response, 200, { machines: machines.visibleMachines() }),
       );
     return machines;
   }
@@ -62,7 +62,7 @@
     return this.server.drain();
   }
 
-  private visible(): z.infer<typeof machineSchema>[] {
+  private visibleMachines(): z.infer<typeof machineSchema>[] {
     const latest = new Map<string, z.infer<typeof machineSchema>>();
     for (const { id, state, visibleAtMs } of this.changes) {
       if (visibleAtMs <= performance.now()) latest.set(id, { id, state });
--- a/emulator/model/answer-text.ts
+++ b/emulator/model/answer-text.ts
@@ -1,6 +1,6 @@
 /**
- * Deterministic answers: the text that an emulated engine generates follows from model and prompt
- * alone, so whoever knows the prompt can check any answer without asking anyone.
+ * Deterministic answers of emulated engines: the text depends only on model and prompt, so that a
+ * caller can verify an answer locally.
  */
 import {
   CHARACTERS_PER_TOKEN,
@@ -11,33 +11,35 @@
   renderMessage,
 } from '../../src/common/index.js';
 
-/** Shortest and typical natural length of an answer, in tokens (assumed; heavy-tailed). */
-const SHORTEST_ANSWER_TOKENS = 8;
+/** Answer lengths in tokens follow a Pareto distribution that is cut at both ends. */
+const MIN_ANSWER_TOKENS = 8;
 const TYPICAL_ANSWER_TOKENS = 48;
-const LONGEST_ANSWER_TOKENS = 1_024;
+const MAX_ANSWER_TOKENS = 1_024;
 const PARETO_EXPONENT = 1.6;
 const ALPHABET = 'abcdefghijklmnopqrstuvwxyz';
-/** Share of the typical length at which the tail begins. */
+/** Scale of the Pareto distribution, as a fraction of the typical length. */
 const TAIL_START = 0.6;
 
-/** The whole prompt as text. */
+/** Renders messages as the prompt text that the engine processes. */
 export function renderPrompt(messages: readonly ChatMessage[]): string {
   return messages.map(renderMessage).join('');
 }
 
-/** How a model answers one prompt. */
+/** Complete answer to one prompt, known before its tokens are generated. */
 export interface PlannedAnswer {
   text: string;
   tokens: number;
   finishReason: 'stop' | 'length';
 }
 
-/** Works out the answer of `model` to a rendered prompt, cut at `maxTokens`. */
+/** Computes the answer of `model` to a rendered prompt, truncated to `maxTokens`. */
 export function planAnswer(model: string, prompt: string, maxTokens: number): PlannedAnswer {
   const random = new SeededRandom(hash32(`${model}\n${prompt}`) | 0);
-  const natural = Math.round(random.pareto(TYPICAL_ANSWER_TOKENS * TAIL_START, PARETO_EXPONENT));
-  const wanted = Math.min(LONGEST_ANSWER_TOKENS, Math.max(SHORTEST_ANSWER_TOKENS, natural));
-  const tokens = Math.min(wanted, maxTokens);
+  const sampledTokens = Math.round(
+    random.pareto(TYPICAL_ANSWER_TOKENS * TAIL_START, PARETO_EXPONENT),
+  );
+  const fullTokens = Math.min(MAX_ANSWER_TOKENS, Math.max(MIN_ANSWER_TOKENS, sampledTokens));
+  const tokens = Math.min(fullTokens, maxTokens);
   let text = '';
   for (let index = 0; index < tokens; index += 1) {
     for (let letter = 1; letter < CHARACTERS_PER_TOKEN; letter += 1) {
@@ -45,10 +47,10 @@
     }
     text += ' ';
   }
-  return { text, tokens: countTokens(text), finishReason: tokens < wanted ? 'length' : 'stop' };
+  return { text, tokens: countTokens(text), finishReason: tokens < fullTokens ? 'length' : 'stop' };
 }
 
-/** The answer that a caller has to receive for its messages. */
+/** The answer that a caller must receive for its messages. */
 export function expectedAnswer(
   model: string,
   messages: readonly ChatMessage[],
--- a/emulator/model/engine-model.test.ts
+++ b/emulator/model/engine-model.test.ts
@@ -1,4 +1,3 @@
-/** The emulated engine: batching, prefix cache, priorities, holds, fences. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { countMessageTokens } from '../../src/common/index.js';
@@ -10,8 +9,8 @@
 
 const LONG_TEXT = 'word '.repeat(2_000);
 
-function requestOf(change: Partial<EngineRequest> & { text?: string } = {}): EngineRequest {
-  const messages = [{ role: 'user', content: change.text ?? LONG_TEXT }];
+function createRequest(overrides: Partial<EngineRequest> & { text?: string } = {}): EngineRequest {
+  const messages = [{ role: 'user', content: overrides.text ?? LONG_TEXT }];
   return {
     tenant: 't',
     program: 'p',
@@ -23,7 +22,7 @@
     maxTokens: 64,
     priority: 0,
     holdMs: 0,
-    ...change,
+    ...overrides,
   };
 }
 
@@ -33,81 +32,81 @@
   return result.sequence;
 }
 
-function runToEnd(engine: EngineModel): void {
-  while (!engine.isIdle) if (engine.step() === 0) throw new Error('stuck');
+function runUntilIdle(engine: EngineModel): void {
+  while (!engine.isIdle) if (engine.step() === 0) throw new Error('engine makes no progress');
 }
 
 describe('engine', () => {
-  it('answers what a caller can work out', () => {
+  it('generates the answer that a caller expects', () => {
     const engine = new EngineModel(DEFAULT_ENGINE_OPTIONS);
-    const sequence = submit(engine, requestOf({ text: 'hello' }));
-    runToEnd(engine);
+    const sequence = submit(engine, createRequest({ text: 'hello' }));
+    runUntilIdle(engine);
     const messages = [{ role: 'user', content: 'hello' }];
     expect(sequence.text).toBe(expectedAnswer('m', messages, 64));
   });
 
-  it('is faster with the prefix in memory, and only for the same tenant', () => {
+  it('reuses cached prefixes only for the same tenant', () => {
     const engine = new EngineModel(DEFAULT_ENGINE_OPTIONS);
-    const first = submit(engine, requestOf());
-    runToEnd(engine);
-    const same = submit(engine, requestOf({ sequence: 2 }));
-    const other = submit(engine, requestOf({ tenant: 'u', program: 'q' }));
-    runToEnd(engine);
+    const first = submit(engine, createRequest());
+    runUntilIdle(engine);
+    const same = submit(engine, createRequest({ sequence: 2 }));
+    const other = submit(engine, createRequest({ tenant: 'u', program: 'q' }));
+    runUntilIdle(engine);
     expect(first.cachedTokens).toBe(0);
     expect(same.cachedTokens).toBeGreaterThan(2_000);
     expect(other.cachedTokens).toBe(0);
   });
 
-  it('takes steps that grow with batch and prefill', () => {
+  it('takes longer steps for larger batches and prefills', () => {
     const engine = new EngineModel(DEFAULT_ENGINE_OPTIONS);
-    submit(engine, requestOf());
+    submit(engine, createRequest());
     const alone = engine.step();
-    const crowded = new EngineModel(DEFAULT_ENGINE_OPTIONS);
+    const batched = new EngineModel(DEFAULT_ENGINE_OPTIONS);
     for (let index = 0; index < 8; index += 1) {
-      submit(crowded, requestOf({ program: `p${index}`, text: `${index} short` }));
+      submit(batched, createRequest({ program: `p${index}`, text: `${index} short` }));
     }
-    expect(alone).toBeGreaterThan(crowded.step());
-    expect(crowded.step()).toBeGreaterThan(DEFAULT_ENGINE_OPTIONS.baseStepMs);
+    expect(alone).toBeGreaterThan(batched.step());
+    expect(batched.step()).toBeGreaterThan(DEFAULT_ENGINE_OPTIONS.baseStepMs);
   });
 
-  it('serves lower priorities first when the batch is full', () => {
+  it('schedules lower priority values first when the batch is full', () => {
     const engine = new EngineModel({ ...DEFAULT_ENGINE_OPTIONS, maxBatch: 1 });
-    const running = submit(engine, requestOf({ program: 'a', text: 'a' }));
+    const running = submit(engine, createRequest({ program: 'a', text: 'a' }));
     engine.step();
-    const late = submit(engine, requestOf({ program: 'b', text: 'b', priority: 5 }));
-    const urgent = submit(engine, requestOf({ program: 'c', text: 'c', priority: 1 }));
+    const late = submit(engine, createRequest({ program: 'b', text: 'b', priority: 5 }));
+    const urgent = submit(engine, createRequest({ program: 'c', text: 'c', priority: 1 }));
     while (!running.isOver) engine.step();
     engine.step();
     expect([late.state, urgent.state]).toEqual(['waiting', 'decode']);
   });
 
-  it('joins copies of an attempt and fences older ones', () => {
+  it('joins repeats of an attempt and fences older attempts', () => {
     const engine = new EngineModel(DEFAULT_ENGINE_OPTIONS);
-    const first = submit(engine, requestOf());
-    expect(submit(engine, requestOf())).toBe(first);
-    const second = submit(engine, requestOf({ attempt: 2 }));
+    const first = submit(engine, createRequest());
+    expect(submit(engine, createRequest())).toBe(first);
+    const second = submit(engine, createRequest({ attempt: 2 }));
     expect(first.state).toBe('cancelled');
-    expect(engine.submit(requestOf()).kind).toBe('fenced');
-    runToEnd(engine);
+    expect(engine.submit(createRequest()).kind).toBe('fenced');
+    runUntilIdle(engine);
     expect(second.state).toBe('finished');
   });
 
-  it('refuses what can never fit and what exceeds the queue', () => {
+  it('rejects requests that exceed the memory or the queue', () => {
     const engine = new EngineModel({
       ...DEFAULT_ENGINE_OPTIONS,
       cacheTokens: 1_024,
       maxWaiting: 1,
     });
-    expect(engine.submit(requestOf()).kind).toBe('too-long');
-    submit(engine, requestOf({ text: 'a' }));
-    expect(engine.submit(requestOf({ program: 'q', text: 'b' })).kind).toBe('overloaded');
+    expect(engine.submit(createRequest()).kind).toBe('too-long');
+    submit(engine, createRequest({ text: 'a' }));
+    expect(engine.submit(createRequest({ program: 'q', text: 'b' })).kind).toBe('overloaded');
   });
 
   it('holds a prefix until the hold expires or the program is released', () => {
     const engine = new EngineModel(DEFAULT_ENGINE_OPTIONS);
-    submit(engine, requestOf({ holdMs: 1_000 }));
-    submit(engine, requestOf({ program: 'q', holdMs: 5_000, text: `other ${LONG_TEXT}` }));
-    runToEnd(engine);
+    submit(engine, createRequest({ holdMs: 1_000 }));
+    submit(engine, createRequest({ program: 'q', holdMs: 5_000, text: `other ${LONG_TEXT}` }));
+    runUntilIdle(engine);
     expect(engine.cache.heldPrograms).toEqual(['p', 'q']);
     engine.idle(1_500);
     expect(engine.cache.heldPrograms).toEqual(['q']);
@@ -116,7 +115,7 @@
     expect(engine.cache.countBlocksOf('q')).toBe(0);
   });
 
-  it('never uses more memory than it has, whatever comes', () => {
+  it('never exceeds its memory for any sequence of requests', () => {
     const step = fc.record({
       program: fc.integer({ min: 0, max: 5 }),
       words: fc.integer({ min: 1, max: 400 }),
@@ -130,7 +129,7 @@
         const capacity = 2_048 / BLOCK_TOKENS;
         for (const [index, { program, words, holdMs, steps: count, release }] of steps.entries()) {
           const text = `program ${program} ${'abc '.repeat(words)}`;
-          engine.submit(requestOf({ program: `p${program}`, sequence: index, text, holdMs }));
+          engine.submit(createRequest({ program: `p${program}`, sequence: index, text, holdMs }));
           for (let turn = 0; turn < count; turn += 1) engine.step();
           if (release) engine.releaseProgram(`p${program}`);
           expect(engine.cache.usedBlocks).toBeLessThanOrEqual(capacity);
@@ -141,11 +140,11 @@
   });
 });
 
-describe('prefix cache', () => {
+describe('PrefixCache', () => {
   const hashesOf = (count: number, name: string): string[] =>
     blockHashes('t', 'm', name.repeat(count * BLOCK_TOKENS * 4).slice(0, count * BLOCK_TOKENS * 4));
 
-  it('drops the least recently used first, but nothing that is pinned or held', () => {
+  it('evicts the least recently used block that is neither pinned nor held', () => {
     const cache = new PrefixCache(4);
     const [old, pinned, held] = [hashesOf(1, 'a'), hashesOf(1, 'b'), hashesOf(1, 'c')];
     cache.store(old, 'old', 1);
@@ -157,7 +156,7 @@
     expect([old, pinned, held].map((hashes) => cache.matchLength(hashes))).toEqual([0, 1, 1]);
   });
 
-  it('tells reused from unused time', () => {
+  it('accounts for reused and unused time', () => {
     const cache = new PrefixCache(10);
     const hashes = hashesOf(1, 'a');
     cache.store(hashes, 'p', 0);
--- a/emulator/model/engine-model.ts
+++ b/emulator/model/engine-model.ts
@@ -1,8 +1,7 @@
 /**
- * The emulated model engine: continuous batching with chunked prefill, a prefix cache in bounded
- * memory, priorities, streams that can be read again, holds, KV export and import. It keeps no
- * clock of its own: `step` does one iteration and says how long it takes, so the same class serves
- * the emulator process and tests in virtual time.
+ * Emulated model engine: continuous batching with chunked prefill, a bounded prefix cache with holds,
+ * priorities, resumable streams, KV export and import. It has no clock: `step` runs one iteration and
+ * returns its duration, so that the emulator runs it in real time and tests in virtual time.
  */
 import { planAnswer } from './answer-text.js';
 import { BLOCK_TOKENS, type EngineOptions } from './engine-options.js';
@@ -11,7 +10,7 @@
 
 export type SubmitResult =
   | { kind: 'accepted'; sequence: EngineSequence }
-  /** A newer attempt of the same call is known. */
+  /** A newer attempt of the same call has already arrived. */
   | { kind: 'fenced' }
   | { kind: 'overloaded' }
   /** The prompt alone exceeds the engine's memory. */
@@ -20,13 +19,13 @@
 export interface LoadReport {
   waiting: number;
   running: number;
-  /** Prompt tokens that waiting and running requests still need computed. */
+  /** Prompt tokens of waiting and running requests that are not computed yet. */
   pendingPrefillTokens: number;
   usedBlocks: number;
   capacityBlocks: number;
 }
 
-/** What one finished or cancelled attempt cost, for those who check the whole system. */
+/** Cost of a finished or cancelled attempt; read by the consistency checks. */
 export interface ExecutionRecord {
   tenant: string;
   program: string;
@@ -39,7 +38,6 @@
   outcome: 'finished' | 'cancelled';
 }
 
-/** Told of what happens in the engine. */
 export interface EngineObservers {
   onCacheEvent?: (event: CacheEvent) => void;
   onExecution?: (execution: ExecutionRecord) => void;
@@ -48,7 +46,7 @@
 export class EngineModel {
   readonly cache: PrefixCache;
   readonly executions: ExecutionRecord[] = [];
-  /** Model time, in milliseconds. */
+  /** Current model time, in milliseconds. */
   nowMs = 0;
   private readonly streams = new Map<string, EngineSequence>();
   private waiting: EngineSequence[] = [];
@@ -67,13 +65,13 @@
     return this.waiting.length === 0 && this.running.length === 0;
   }
 
-  /** Programs with a request that waits or runs. */
+  /** Programs with a waiting or running request. */
   get activePrograms(): string[] {
     const active = [...this.waiting, ...this.running];
     return [...new Set(active.map((sequence) => sequence.request.program))];
   }
 
-  /** Takes a request, or joins the stream of the same attempt if it is known already. */
+  /** Enqueues a request; a repeat of the current attempt joins its existing stream. */
   submit(request: EngineRequest): SubmitResult {
     const key = streamKey(request.program, request.sequence);
     const known = this.streams.get(key);
@@ -95,7 +93,7 @@
     return { kind: 'accepted', sequence };
   }
 
-  /** The stream of a call, if it is running or was finished not long ago. */
+  /** Returns the stream of a call unless it is unknown or its retention has expired. */
   findStream(program: string, sequence: number): EngineSequence | undefined {
     return this.streams.get(streamKey(program, sequence));
   }
@@ -107,7 +105,7 @@
     return true;
   }
 
-  /** Drops all that is kept for a program that has ended; returns the blocks dropped. */
+  /** Drops the streams and cached blocks of a program; returns the number of evicted blocks. */
   releaseProgram(program: string): number {
     for (const [key, stream] of this.streams) {
       if (stream.request.program !== program) continue;
@@ -128,7 +126,7 @@
     };
   }
 
-  /** Does one iteration; returns its duration in model milliseconds, 0 when there was nothing to do. */
+  /** Runs one iteration; returns its duration in model milliseconds, 0 if the engine is idle. */
   step(): number {
     this.cache.expireHolds(this.nowMs);
     this.admit();
@@ -142,14 +140,14 @@
     return durationMs;
   }
 
-  /** Lets time pass in which the engine had nothing to do. */
+  /** Advances the model time of an idle engine. */
   idle(durationMs: number): void {
     this.nowMs += durationMs;
     this.cache.expireHolds(this.nowMs);
-    this.forgetOldStreams();
+    this.evictExpiredStreams();
   }
 
-  /** Time to move the KV cache of `tokens` tokens, in model milliseconds. */
+  /** Time to transfer the KV cache of `tokens` tokens, in model milliseconds. */
   transferMs(tokens: number): number {
     return tokens * this.options.transferMsPerToken;
   }
@@ -162,19 +160,19 @@
     return Math.ceil((request.promptTokens + request.maxTokens) / BLOCK_TOKENS);
   }
 
-  /** Moves waiting requests into the batch, most urgent first, while memory allows. */
+  /** Adds waiting requests to the batch in order of priority while memory allows. */
   private admit(): void {
     if (this.waiting.length === 0 || this.running.length >= this.options.maxBatch) return;
     this.waiting.sort(
       (left, right) => left.request.priority - right.request.priority || left.order - right.order,
     );
     while (this.waiting.length > 0 && this.running.length < this.options.maxBatch) {
-      if (!this.start(this.waiting[0]!)) return;
+      if (!this.tryStart(this.waiting[0]!)) return;
       this.running.push(this.waiting.shift()!);
     }
   }
 
-  private start(sequence: EngineSequence): boolean {
+  private tryStart(sequence: EngineSequence): boolean {
     const { request, hashes } = sequence;
     const matched = hashes.slice(0, this.cache.matchLength(hashes));
     this.cache.pin(matched, request.program, this.nowMs);
@@ -185,7 +183,7 @@
     }
     sequence.pinnedHashes = matched;
     sequence.privateBlocks = needed;
-    // The last token is always computed, so that there is something to generate from.
+    // The last prompt token is always computed: its logits yield the first output token.
     sequence.cachedTokens = Math.min(matched.length * BLOCK_TOKENS, request.promptTokens - 1);
     sequence.prefillRemaining = request.promptTokens - sequence.cachedTokens;
     sequence.state = 'prefill';
@@ -212,9 +210,9 @@
       sequence.generatedTokens += 1;
       if (sequence.generatedTokens >= sequence.answer.tokens) this.finish(sequence);
     }
-    const progressed = this.running;
+    const batch = this.running;
     this.running = this.running.filter((sequence) => !sequence.isOver);
-    for (const sequence of progressed) sequence.notify();
+    for (const sequence of batch) sequence.notify();
   }
 
   private finish(sequence: EngineSequence): void {
@@ -223,8 +221,8 @@
     sequence.finishedAtMs = this.nowMs;
     this.cache.unpin(sequence.pinnedHashes);
     this.cache.freePrivate(sequence.privateBlocks);
-    const whole = `${request.prompt}<assistant>${sequence.answer.text}\n`;
-    const hashes = blockHashes(request.tenant, request.model, whole);
+    const conversation = `${request.prompt}<assistant>${sequence.answer.text}\n`;
+    const hashes = blockHashes(request.tenant, request.model, conversation);
     this.cache.store(hashes, request.program, this.nowMs);
     if (request.holdMs > 0) this.cache.hold(request.program, hashes, this.nowMs + request.holdMs);
     this.record(sequence, 'finished');
@@ -261,10 +259,10 @@
     this.observers.onExecution?.(execution);
   }
 
-  private forgetOldStreams(): void {
-    const oldest = this.nowMs - this.options.streamRetentionMs;
+  private evictExpiredStreams(): void {
+    const expiryMs = this.nowMs - this.options.streamRetentionMs;
     for (const [key, stream] of this.streams) {
-      if (stream.isOver && stream.finishedAtMs < oldest) this.streams.delete(key);
+      if (stream.isOver && stream.finishedAtMs < expiryMs) this.streams.delete(key);
     }
   }
 }
--- a/emulator/model/engine-options.ts
+++ b/emulator/model/engine-options.ts
@@ -1,26 +1,26 @@
 /**
- * Constants of the emulated engine. None was calibrated against real hardware; each is assumed, of
- * the order that published work on continuous batching reports for models of some tens of billions
- * of parameters on one server.
+ * Options of the emulated engine. The defaults are not calibrated against real hardware; their order
+ * of magnitude follows published work on continuous batching for models with tens of billions of
+ * parameters on one server.
  */
 export interface EngineOptions {
-  /** Time of one step however small the batch, in model milliseconds. Assumed. @default 18 */
+  /** Base time of one step, in model milliseconds. @default 18 */
   baseStepMs: number;
-  /** Additional time for each running sequence. Assumed. @default 0.3 */
+  /** Additional step time per running sequence, in model milliseconds. @default 0.3 */
   stepMsPerSequence: number;
-  /** Additional time for each prompt token computed in the step. Assumed. @default 0.06 */
+  /** Additional step time per prompt token computed, in model milliseconds. @default 0.06 */
   stepMsPerPrefillToken: number;
-  /** Prompt tokens computed in one step at most (chunked prefill). Assumed. @default 2048 */
+  /** Maximum number of prompt tokens computed in one step (chunked prefill). @default 2048 */
   prefillTokensPerStep: number;
-  /** Sequences that run together at most. Assumed. @default 32 */
+  /** Maximum number of sequences in a batch. @default 32 */
   maxBatch: number;
-  /** Memory for cached prompts and running sequences, in tokens. Assumed. @default 262144 */
+  /** Memory for cached prompts and running sequences, in tokens. @default 262144 */
   cacheTokens: number;
-  /** Time to import or export one token's KV cache. Assumed. @default 0.008 */
+  /** Time to import or export the KV cache of one token, in model milliseconds. @default 0.008 */
   transferMsPerToken: number;
-  /** Requests waiting at most; more are refused. @default 512 */
+  /** Maximum length of the request queue; further requests are rejected. @default 512 */
   maxWaiting: number;
-  /** Model milliseconds for which a finished stream can be read again. @default 120000 */
+  /** How long a finished stream can be read again, in model milliseconds. @default 120000 */
   streamRetentionMs: number;
 }
 
@@ -36,5 +36,5 @@
   streamRetentionMs: 120_000,
 };
 
-/** Tokens of one cache block (assumed; engines commonly use 16 to 64). */
+/** Tokens per cache block; engines commonly use 16 to 64. */
 export const BLOCK_TOKENS = 64;
--- a/emulator/model/prefix-cache.ts
+++ b/emulator/model/prefix-cache.ts
@@ -1,7 +1,7 @@
 /**
- * Prefix cache of an emulated engine: blocks of tokens, each named by a hash over all that stands
- * before it and itself, evicted least recently used first unless pinned by a running sequence or
- * held for a program.
+ * Prefix cache of an emulated engine. Each block of tokens is identified by a hash of the whole
+ * prefix up to its end. Blocks are evicted in LRU order unless they are pinned by a running sequence
+ * or held for a program.
  */
 import { CHARACTERS_PER_TOKEN, hash64Hex } from '../../src/common/index.js';
 import { BLOCK_TOKENS } from './engine-options.js';
@@ -10,7 +10,7 @@
 
 interface Block {
   hash: string;
-  /** Sequences that use the block now. */
+  /** Number of running sequences that use the block. */
   users: number;
   /** Program that used the block last. */
   program: string;
@@ -22,11 +22,11 @@
   expiresAtMs: number;
 }
 
-/** What became of the cached memory so far, in token-milliseconds of model time. */
+/** Memory use of cached blocks, in token-milliseconds of model time. */
 export interface CacheUsage {
-  /** Time in which blocks lay in memory and were used again afterwards. */
+  /** Time that blocks stayed in memory before they were used again. */
   reusedTokenMs: number;
-  /** Time in which blocks lay in memory until they were dropped, without another use. */
+  /** Time that blocks stayed in memory after their last use, until they were evicted. */
   unusedTokenMs: number;
 }
 
@@ -35,7 +35,7 @@
   hash: string;
 }
 
-/** Names of a prompt's whole blocks; the tenant is part of them, so no tenant sees another's. */
+/** Hashes of a prompt's complete blocks. They include the tenant: tenants never share blocks. */
 export function blockHashes(tenant: string, model: string, prompt: string): string[] {
   const hashes: string[] = [];
   let previous = hash64Hex(`${tenant}\n${model}`);
@@ -47,11 +47,11 @@
 }
 
 export class PrefixCache {
-  /** In order of last use, the oldest first. */
+  /** In LRU order, the least recently used block first. */
   private readonly blocks = new Map<string, Block>();
   private readonly holds = new Map<string, Hold>();
   private readonly holdCounts = new Map<string, number>();
-  /** Blocks that running sequences need beyond the cached ones. */
+  /** Blocks that running sequences occupy in addition to the cached ones. */
   private privateBlocks = 0;
   readonly usage: CacheUsage = { reusedTokenMs: 0, unusedTokenMs: 0 };
 
@@ -68,14 +68,14 @@
     return [...this.holds.keys()];
   }
 
-  /** How many leading blocks are cached. */
+  /** Number of leading blocks that are cached. */
   matchLength(hashes: readonly string[]): number {
     let length = 0;
     while (length < hashes.length && this.blocks.has(hashes[length]!)) length += 1;
     return length;
   }
 
-  /** Marks leading blocks as used by a sequence, so that they stay until `release`. */
+  /** Marks cached blocks as used by a sequence; they are not evicted before `unpin`. */
   pin(hashes: readonly string[], program: string, nowMs: number): void {
     for (const hash of hashes) {
       const block = this.blocks.get(hash)!;
@@ -91,9 +91,9 @@
     }
   }
 
-  /** Reserves memory of a running sequence; false when even eviction gives not enough. */
+  /** Reserves memory for a running sequence; returns false if eviction can't free enough. */
   reservePrivate(count: number, nowMs: number): boolean {
-    if (!this.makeRoom(count, nowMs)) return false;
+    if (!this.evictUntilFits(count, nowMs)) return false;
     this.privateBlocks += count;
     return true;
   }
@@ -102,21 +102,21 @@
     this.privateBlocks -= count;
   }
 
-  /** Adds blocks that were computed or imported; stops where there is no room. */
+  /** Adds computed or imported blocks until the memory is full. */
   store(hashes: readonly string[], program: string, nowMs: number): void {
     for (const hash of hashes) {
-      const known = this.blocks.get(hash);
-      if (known) {
-        this.touch(known, program, nowMs);
+      const cached = this.blocks.get(hash);
+      if (cached) {
+        this.touch(cached, program, nowMs);
         continue;
       }
-      if (!this.makeRoom(1, nowMs)) return;
+      if (!this.evictUntilFits(1, nowMs)) return;
       this.blocks.set(hash, { hash, users: 0, program, lastUsedMs: nowMs });
       this.onEvent({ kind: 'stored', hash });
     }
   }
 
-  /** Keeps blocks for a program until the hold expires; replaces its earlier hold. */
+  /** Protects blocks from eviction until the hold expires; replaces the program's earlier hold. */
   hold(program: string, hashes: readonly string[], expiresAtMs: number): void {
     this.releaseHold(program);
     const present = hashes.filter((hash) => this.blocks.has(hash));
@@ -144,7 +144,7 @@
     }
   }
 
-  /** Ends a program's hold and drops the blocks that it used last; returns the blocks dropped. */
+  /** Releases a program's hold and evicts the blocks that it used last; returns their number. */
   releaseProgram(program: string, nowMs: number): number {
     this.releaseHold(program);
     let dropped = 0;
@@ -156,14 +156,14 @@
     return dropped;
   }
 
-  /** Blocks last used by a program, held or not. */
+  /** Number of blocks that a program used last, held or not. */
   countBlocksOf(program: string): number {
     let count = 0;
     for (const block of this.blocks.values()) if (block.program === program) count += 1;
     return count;
   }
 
-  /** Usage with the time of blocks still in memory counted as unused up to now. */
+  /** Usage up to now; blocks in memory that no sequence uses count as unused since their last use. */
   usageAt(nowMs: number): CacheUsage {
     let unusedTokenMs = this.usage.unusedTokenMs;
     for (const block of this.blocks.values()) {
@@ -184,14 +184,14 @@
     return block.users === 0 && !this.holdCounts.has(block.hash);
   }
 
-  private makeRoom(count: number, nowMs: number): boolean {
-    let missing = this.usedBlocks + count - this.capacityBlocks;
-    if (missing <= 0) return true;
+  private evictUntilFits(count: number, nowMs: number): boolean {
+    let excess = this.usedBlocks + count - this.capacityBlocks;
+    if (excess <= 0) return true;
     for (const block of this.blocks.values()) {
       if (!this.isEvictable(block)) continue;
       this.drop(block, nowMs);
-      missing -= 1;
-      if (missing <= 0) return true;
+      excess -= 1;
+      if (excess <= 0) return true;
     }
     return false;
   }
--- a/emulator/model/sequence.ts
+++ b/emulator/model/sequence.ts
@@ -1,4 +1,4 @@
-/** One request inside an emulated engine, from arrival to the end of its stream. */
+/** State of one request in an emulated engine, from arrival to the end of its stream. */
 import type { PlannedAnswer } from './answer-text.js';
 
 export interface EngineRequest {
@@ -11,15 +11,15 @@
   prompt: string;
   promptTokens: number;
   maxTokens: number;
-  /** Lower runs first. */
+  /** Requests with lower values are scheduled first. */
   priority: number;
-  /** Keep the program's prefix for this long after the answer, in model milliseconds. */
+  /** How long the program's prefix is held after the request has finished, in model milliseconds. */
   holdMs: number;
 }
 
 export type SequenceState = 'waiting' | 'prefill' | 'decode' | 'finished' | 'cancelled';
 
-/** Counts that a finished request reports. */
+/** Token counts that are reported at the end of a request. */
 export interface SequenceUsage {
   promptTokens: number;
   cachedTokens: number;
@@ -28,7 +28,7 @@
 
 export class EngineSequence {
   state: SequenceState = 'waiting';
-  /** Prompt tokens that are still to be computed. */
+  /** Prompt tokens not computed yet. */
   prefillRemaining = 0;
   cachedTokens = 0;
   generatedTokens = 0;
@@ -62,7 +62,7 @@
     return { promptTokens, cachedTokens: this.cachedTokens, outputTokens: this.generatedTokens };
   }
 
-  /** Calls `listener` at each progress; returns how to stop that. */
+  /** Calls `listener` after each step of the sequence; returns a function that unsubscribes it. */
   onProgress(listener: () => void): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
--- a/emulator/record-file.ts
+++ b/emulator/record-file.ts
@@ -1,7 +1,7 @@
-/** Records that outlive the process which makes them: one JSON object a line. */
+/** Record files in JSON Lines format, read after the process that wrote them has ended. */
 import { appendFileSync } from 'node:fs';
 
-/** Appends a record at once, so that it is there even if the process is killed right after. */
+/** Appends a record synchronously, so that it survives a kill of the process. */
 export function appendRecord(file: string | undefined, record: object): void {
   if (file !== undefined) appendFileSync(file, `${JSON.stringify(record)}\n`);
 }
--- a/emulator/service/service-server.ts
+++ b/emulator/service/service-server.ts
@@ -1,6 +1,6 @@
 /**
- * Emulated small services and tools. They do not recognise repeats: every execution is recorded, so
- * that a request that ran twice is seen by whoever checks.
+ * Emulated services and tools. They do not deduplicate requests: every execution is recorded, so that
+ * the consistency checks detect a request that was executed twice.
  */
 import { z } from 'zod';
 import { SeededRandom, hash64Hex, sleep } from '../../src/common/index.js';
@@ -25,10 +25,10 @@
 export const serviceSettingsSchema = z.strictObject({
   node: nodeSettingsSchema,
   listen: z.strictObject({ host: z.string().default('127.0.0.1'), port }),
-  /** Mean time that an execution takes; exponentially distributed. */
+  /** Mean execution time; exponentially distributed. */
   meanLatency: durationWithDefault('5ms'),
   seed: z.number().int().default(1),
-  /** File that every execution is appended to, for checks after a crash. */
+  /** File to which every execution is appended, for checks after a crash. */
   recordFile: z.string().optional(),
   log: logSettingsSchema.prefault({}),
 });
@@ -37,7 +37,6 @@
 
 const MAX_BODY_BYTES = 8 * 1024 * 1024;
 
-/** One execution of a request. */
 export interface ServiceExecution {
   /** `program/sequence/attempt`. */
   key: string;
@@ -48,12 +47,12 @@
 }
 
 const faultSchema = z.object({
-  /** `hang`: executes, then never answers; `error`: executes nothing, answers 500. */
+  /** `hang`: executes, but never responds; `error`: responds with status 500 without executing. */
   mode: z.enum(['none', 'hang', 'error']),
   count: z.number().int().min(0).default(1),
 });
 
-/** What a service answers to a payload; known to callers, so that they can check. */
+/** The answer of a service to a payload; callers compute it to verify what they received. */
 export function expectedServiceAnswer(service: string, operation: string, payload: string): string {
   return `done:${hash64Hex(`${service}|${operation}|${payload}`)}`;
 }
@@ -100,15 +99,15 @@
 
   private async execute({ request, response, parameters }: HttpExchange): Promise<void> {
     const key = request.headers['x-execution-key'];
-    if (typeof key !== 'string') throw badRequestProblem('x-execution-key is missing');
+    if (typeof key !== 'string') throw badRequestProblem('x-execution-key header is missing');
     const body = z
       .object({ payload: z.string() })
       .safeParse(await readJson(request, MAX_BODY_BYTES));
-    if (!body.success) throw badRequestProblem('payload is missing');
+    if (!body.success) throw badRequestProblem('request body has no payload string');
     const service = parameters.service!;
     const operation = parameters.operation!;
-    const fault = this.takeFault();
-    if (fault === 'error') throw badRequestProblem('the service failed', 'service_failed', 500);
+    const fault = this.consumeFault();
+    if (fault === 'error') throw badRequestProblem('injected service fault', 'service_failed', 500);
     const { payload } = body.data;
     const execution = { key, service, operation, payload, wallClockMs: Date.now() };
     this.executions.push(execution);
@@ -119,7 +118,7 @@
     sendJson(response, 200, { answer });
   }
 
-  private takeFault(): 'none' | 'hang' | 'error' {
+  private consumeFault(): 'none' | 'hang' | 'error' {
     if (this.fault.count <= 0) return 'none';
     this.fault.count -= 1;
     return this.fault.mode;
--- a/emulator/status-pages.ts
+++ b/emulator/status-pages.ts
@@ -1,9 +1,9 @@
-/** Health and Prometheus metrics pages of the emulators, beside their own interface. */
+/** Health and Prometheus metrics endpoints of the emulators. */
 import { Registry, collectDefaultMetrics } from 'prom-client';
 import { type HttpRouter, sendJson } from '../src/http/index.js';
 import { addGauge } from '../src/observability/index.js';
 
-/** A figure that is read at each scrape. */
+/** A gauge whose value is read at each scrape. */
 export interface EmulatorGauge {
   name: string;
   help: string;
--- a/emulator/weights/weights-server.ts
+++ b/emulator/weights/weights-server.ts
@@ -1,4 +1,4 @@
-/** The emulated weight store: hands out models at a limited rate. */
+/** Emulated weight store, which serves models at a limited rate. */
 import { z } from 'zod';
 import { addStatusPages } from '../status-pages.js';
 import { sleep } from '../../src/common/index.js';
@@ -14,9 +14,9 @@
 export const weightsSettingsSchema = z.strictObject({
   node: nodeSettingsSchema,
   listen: z.strictObject({ host: z.string().default('127.0.0.1'), port }),
-  /** Time that one transfer takes. */
+  /** Duration of one transfer. */
   transferTime: durationWithDefault('200ms'),
-  /** Transfers under way at most; others wait. */
+  /** Maximum number of concurrent transfers; further ones wait. */
   maxTransfers: z.number().int().positive().default(4),
   log: logSettingsSchema.prefault({}),
 });
