--- a/lab/bench/bench-report.test.ts
+++ b/lab/bench/bench-report.test.ts
@@ -1,10 +1,10 @@
 import { describe, expect, it } from 'vitest';
-import { percentilesOf } from '../load/percentiles.js';
+import { computePercentiles } from '../load/percentiles.js';
 import type { BenchRunResult } from './bench-run.js';
 import { reportBench } from './bench-report.js';
 import { BENCH_POLICIES } from './policies.js';
 
-const NOTHING = percentilesOf([]);
+const NOTHING = computePercentiles([]);
 
 function run(policy: string, seed: number, p95: number, recomputed: number): BenchRunResult {
   const latency = { ...NOTHING, p50: p95 / 2, p95, p99: p95 };
--- a/lab/bench/bench-run.ts
+++ b/lab/bench/bench-run.ts
@@ -6,8 +6,8 @@
 import type { Deployment } from '../fleet/topology.js';
 import { readBackendRecords } from '../load/backend-records.js';
 import { type LoadOptions, runLoad } from '../load/load-run.js';
-import { type LoadSummary, summarize } from '../load/summary.js';
-import type { Recorder } from '../workload/recorder.js';
+import { type LoadSummary, summarizeLoad } from '../load/summary.js';
+import type { WorkloadRecorder } from '../workload/recorder.js';
 import { type CacheWaste, measureCacheWaste, measureEngineAffinity } from './cache-waste.js';
 import {
   BENCH_POLICIES,
@@ -102,7 +102,7 @@
   private drive(
     seed: number,
     arrivals: Pick<LoadOptions, 'concurrency' | 'ratePerSecond'>,
-  ): Promise<Recorder> {
+  ): Promise<WorkloadRecorder> {
     return runLoad(this.options.fleet, {
       seed,
       timeScale: TIME_SCALE,
@@ -115,7 +115,7 @@
   }
 
   /** Over the second half of the time in which programs arrive: neither the start nor the tail. */
-  private completedPerSecond(recorder: Recorder, startedAtMs: number): number {
+  private completedPerSecond(recorder: WorkloadRecorder, startedAtMs: number): number {
     const { durationMs } = this.options;
     const from = startedAtMs + durationMs / 2;
     const until = startedAtMs + durationMs;
@@ -136,7 +136,7 @@
     const startedAtMs = Date.now();
     const recorder = await this.drive(seed, { concurrency: 0, ratePerSecond });
     const records = await readBackendRecords(this.options.fleet);
-    const summary = summarize(recorder, records);
+    const summary = summarizeLoad(recorder, records);
     return {
       policy: policy.name,
       seed,
@@ -160,7 +160,7 @@
         await process.start();
       }),
     );
-    await fleet.waitGatewaysReady();
+    await fleet.waitUntilGatewaysReady();
   }
 }
 
--- a/lab/bench/cache-waste.ts
+++ b/lab/bench/cache-waste.ts
@@ -1,6 +1,6 @@
 /** The three parts of wasted cache, each as a share. */
 import type { BackendRecords } from '../load/backend-records.js';
-import type { Recorder } from '../workload/recorder.js';
+import type { WorkloadRecorder } from '../workload/recorder.js';
 import { BLOCK_TOKENS } from '../../emulator/model/engine-options.js';
 
 export interface CacheWaste {
@@ -13,7 +13,7 @@
 }
 
 export function measureCacheWaste(
-  recorder: Recorder,
+  recorder: WorkloadRecorder,
   records: BackendRecords,
   timeScale: number,
 ): CacheWaste {
@@ -55,7 +55,7 @@
 }
 
 /** In token milliseconds of wall-clock time. */
-function tokenTimeAfterEnd(recorder: Recorder, records: BackendRecords): number {
+function tokenTimeAfterEnd(recorder: WorkloadRecorder, records: BackendRecords): number {
   const endedAt = new Map(recorder.programs.map((program) => [program.id, program.endedAtMs]));
   const releases = records.engines.flatMap((engine) => engine.releases);
   return sum(
--- a/lab/cli/demo-command.ts
+++ b/lab/cli/demo-command.ts
@@ -2,7 +2,7 @@
 import { findDeployment } from '../fleet/topology.js';
 import { readBackendRecords } from '../load/backend-records.js';
 import { runLoad } from '../load/load-run.js';
-import { type LoadSummary, summarize } from '../load/summary.js';
+import { type LoadSummary, summarizeLoad } from '../load/summary.js';
 import { createProgress } from './progress.js';
 import { formatMs, formatShare, formatTable } from './table.js';
 import { startTemporaryFleet } from './temporary-fleet.js';
@@ -53,7 +53,7 @@
   const records = await readBackendRecords(fleet);
   await close();
   progress.stop();
-  const summary = summarize(recorder, records);
+  const summary = summarizeLoad(recorder, records);
   const wallClockMs = Math.round(performance.now() - startedAt);
   const { deployment, seed } = flags;
   const result: DemoResult = { deployment, seed, processes, wallClockMs, ...summary };
--- a/lab/cli/load-command.ts
+++ b/lab/cli/load-command.ts
@@ -2,7 +2,7 @@
 import { findDeployment } from '../fleet/topology.js';
 import { readBackendRecords } from '../load/backend-records.js';
 import { runLoad } from '../load/load-run.js';
-import { type LoadSummary, summarize } from '../load/summary.js';
+import { type LoadSummary, summarizeLoad } from '../load/summary.js';
 import { createProgress } from './progress.js';
 import { formatMs, formatShare, formatTable } from './table.js';
 import { startTemporaryFleet } from './temporary-fleet.js';
@@ -43,7 +43,7 @@
     patienceMs: PATIENCE_MS,
     onProgress: (started, finished) => progress.update(finished, started, 'programs'),
   });
-  const summary = summarize(recorder, await readBackendRecords(fleet));
+  const summary = summarizeLoad(recorder, await readBackendRecords(fleet));
   await close();
   progress.stop();
   process.stdout.write(`${flags.json ? JSON.stringify(summary) : loadTable(summary)}\n`);
--- a/lab/fleet/cluster-view.ts
+++ b/lab/fleet/cluster-status.ts
@@ -2,27 +2,27 @@
 import { request } from 'undici';
 import { groupBy } from '../../src/common/index.js';
 import type { GroupStatus, SystemStatus } from '../../src/operators/index.js';
-import type { FleetProcess } from './child-process.js';
+import type { FleetProcess } from './fleet-process.js';
 import { type Fleet, FleetError } from './fleet.js';
 
 const TIMEOUT_MS = 1_500;
 /** Entries that a member may lack while load goes on. */
 const MAXIMUM_LAG = 64;
 
-export interface MemberView {
+export interface MemberStatus {
   process: string;
   groups: GroupStatus[];
 }
 
 /** Asks every control process; those that do not answer are left out. */
-export async function viewMembers(fleet: Fleet): Promise<MemberView[]> {
+export async function readMemberStatuses(fleet: Fleet): Promise<MemberStatus[]> {
   const views = await Promise.all(
     fleet.ofKind('control').map((control) => viewMember(fleet, control).catch(() => undefined)),
   );
   return views.filter((view) => view !== undefined);
 }
 
-async function viewMember(fleet: Fleet, control: FleetProcess): Promise<MemberView | undefined> {
+async function viewMember(fleet: Fleet, control: FleetProcess): Promise<MemberStatus | undefined> {
   if (!control.isRunning) return undefined;
   const response = await request(`http://${control.plan.operatorAddress}/v1/status`, {
     headers: { authorization: `Bearer ${fleet.plan.operatorKey}` },
@@ -36,7 +36,7 @@
 
 /** Name of the process that leads a group; undefined when none says so. */
 export async function findLeader(fleet: Fleet, group: string): Promise<string | undefined> {
-  const views = await viewMembers(fleet);
+  const views = await readMemberStatuses(fleet);
   const leading = views
     .flatMap((view) => view.groups.map((status) => ({ process: view.process, status })))
     .filter(({ status }) => status.group === group && status.state === 'leader')
@@ -45,7 +45,7 @@
 }
 
 /** Resolves once every group has all its members as voters, caught up, and one leader. */
-export async function waitFullyReplicated(fleet: Fleet, patienceMs: number): Promise<void> {
+export async function waitUntilFullyReplicated(fleet: Fleet, patienceMs: number): Promise<void> {
   await fleet.waitFor(
     'full replication',
     async () => {
@@ -58,7 +58,7 @@
 }
 
 async function findReplicationProblem(fleet: Fleet): Promise<string | undefined> {
-  const views = await viewMembers(fleet);
+  const views = await readMemberStatuses(fleet);
   const count = fleet.ofKind('control').length;
   if (views.length < count) return `${views.length} of ${count} members answer`;
   const byGroup = groupBy(
--- a/lab/fleet/fleet-plan.ts
+++ b/lab/fleet/fleet-plan.ts
@@ -182,7 +182,7 @@
     simpleProcess('engine', `${prefix}-${index + 1}`, zoneOf(deployment, index), port, {
       timeScale,
       cacheEvents: { seed: seed + index },
-      recordFile: recordFileOf(options.workFolder, `${prefix}-${index + 1}`),
+      recordFile: recordFilePath(options.workFolder, `${prefix}-${index + 1}`),
       ...options.engineSettings,
     }),
   );
@@ -195,13 +195,13 @@
   return ports.map((port, index) =>
     simpleProcess('service', `${prefix}-${index + 1}`, zoneOf(deployment, index), port, {
       seed: seed + index,
-      recordFile: recordFileOf(options.workFolder, `${prefix}-${index + 1}`),
+      recordFile: recordFilePath(options.workFolder, `${prefix}-${index + 1}`),
     }),
   );
 }
 
 /** Where a back end notes what it was asked to do; outlives the back end. */
-export function recordFileOf(workFolder: string, backend: string): string {
+export function recordFilePath(workFolder: string, backend: string): string {
   return join(workFolder, 'records', `${backend}.jsonl`);
 }
 
--- a/lab/fleet/fleet.ts
+++ b/lab/fleet/fleet.ts
@@ -7,7 +7,7 @@
 import type { IntentDocument, PartialDocument, Plan, Revision } from '../../src/intents/index.js';
 import type { SystemStatus } from '../../src/operators/index.js';
 import type { LinkFault } from '../../emulator/fault-proxy/fault-proxy-settings.js';
-import { FleetProcess } from './child-process.js';
+import { FleetProcess } from './fleet-process.js';
 import { PortAllocator } from './ports.js';
 import {
   type FleetPlan,
@@ -54,7 +54,7 @@
     try {
       await fleet.startAll(options);
       await fleet.applyIntents(plan.intents);
-      await fleet.waitGatewaysReady();
+      await fleet.waitUntilGatewaysReady();
     } catch (error) {
       await fleet.down();
       throw error;
@@ -109,7 +109,7 @@
     );
   }
 
-  healAll(): Promise<void> {
+  clearFaults(): Promise<void> {
     return this.setFault(['*'], {});
   }
 
@@ -140,7 +140,7 @@
     throw new FleetError(`not in time: ${lastProblem}`, { step });
   }
 
-  waitGatewaysReady(): Promise<void> {
+  waitUntilGatewaysReady(): Promise<void> {
     return this.waitFor('gateways ready', async () => {
       const answers = await Promise.all(
         this.ofKind('gateway').map((gateway) => isReady(gateway.plan.statusAddress!)),
--- a/lab/fleet/process-metrics.ts
+++ b/lab/fleet/process-metrics.ts
@@ -12,11 +12,11 @@
 }
 
 /** One number from a metrics page; 0 when it is not there. */
-export function metricIn(page: string, name: string): number {
+export function metricValue(page: string, name: string): number {
   return Number(new RegExp(`^${name} ([0-9.e+-]+)`, 'm').exec(page)?.[1] ?? 0);
 }
 
 /** Processor time that a process has used so far, in seconds. */
 export async function readProcessCpuSeconds(statusAddress: string): Promise<number> {
-  return metricIn(await readMetrics(statusAddress), 'process_cpu_seconds_total');
+  return metricValue(await readMetrics(statusAddress), 'process_cpu_seconds_total');
 }
--- a/lab/fleet/starting-at.ts
+++ b/lab/fleet/rotate.ts
@@ -1,5 +1,5 @@
 /** All items in their order, beginning at a position and going round. */
-export function startingAt<Item>(items: readonly Item[], position: number): Item[] {
+export function rotate<Item>(items: readonly Item[], position: number): Item[] {
   const start = position % items.length;
   return [...items.slice(start), ...items.slice(0, start)];
 }
--- a/lab/fleet/topology.ts
+++ b/lab/fleet/topology.ts
@@ -3,7 +3,7 @@
 
 export type DeploymentName = 'pipeline' | 'consortium';
 
-export interface EngineRole {
+export interface BackendGroup {
   /** Prefix of the runners' names. */
   name: string;
   count: number;
@@ -14,8 +14,8 @@
   zones: string[];
   /** Zone of each control process. */
   controlZones: string[];
-  engines: EngineRole;
-  services: EngineRole;
+  engines: BackendGroup;
+  services: BackendGroup;
   /** What the service back ends offer. */
   serviceNames: string[];
   model: string;
--- a/lab/load/gateway-clients.ts
+++ b/lab/load/gateway-clients.ts
@@ -1,7 +1,7 @@
 /** Callers of a fleet: for each gateway one client a tenant that prefers it. */
 import { ProgramClient, type ProgramClientOptions } from '../../src/client/index.js';
 import type { Fleet } from '../fleet/fleet.js';
-import { startingAt } from '../fleet/starting-at.js';
+import { rotate } from '../fleet/rotate.js';
 
 /** The clients of all tenants that prefer one gateway. */
 export type TenantClients = ReadonlyMap<string, ProgramClient>;
@@ -12,7 +12,7 @@
 export function createGatewayClients(fleet: Fleet, options: ClientOptions): TenantClients[] {
   const { clientGateways, tenantKeys } = fleet.plan;
   return clientGateways.map((_, position) => {
-    const gateways = startingAt(clientGateways, position);
+    const gateways = rotate(clientGateways, position);
     return new Map(
       Object.entries(tenantKeys).map(([tenant, apiKey]) => [
         tenant,
--- a/lab/load/load-run.ts
+++ b/lab/load/load-run.ts
@@ -3,7 +3,7 @@
 import { SeededRandom, monotonicMs, sleep } from '../../src/common/index.js';
 import type { Fleet } from '../fleet/fleet.js';
 import { ProgramRunner } from '../workload/program-runner.js';
-import { Recorder } from '../workload/recorder.js';
+import { WorkloadRecorder } from '../workload/recorder.js';
 import { closeClients, createGatewayClients } from './gateway-clients.js';
 import { Workload } from '../workload/workload.js';
 
@@ -21,16 +21,16 @@
   durationMs: number;
   patienceMs: number;
   onProgress?: (started: number, finished: number) => void;
-  recorder?: Recorder;
+  recorder?: WorkloadRecorder;
 }
 
 const MS_PER_SECOND = 1_000;
 
-export async function runLoad(fleet: Fleet, options: LoadOptions): Promise<Recorder> {
+export async function runLoad(fleet: Fleet, options: LoadOptions): Promise<WorkloadRecorder> {
   const { deployment } = fleet.plan;
   const { seed, timeScale, sizeScale, patienceMs } = options;
   const workload = new Workload({ deployment, seed, timeScale, sizeScale });
-  const recorder = options.recorder ?? new Recorder();
+  const recorder = options.recorder ?? new WorkloadRecorder();
   const clients = createGatewayClients(fleet, { patienceMs });
   const state = { started: 0, finished: 0 };
   const runOne = async (submittedAtMs: number): Promise<void> => {
--- a/lab/load/percentiles.ts
+++ b/lab/load/percentiles.ts
@@ -14,7 +14,7 @@
 /** Values are recorded in thousandths, because the histogram keeps whole numbers. */
 const RESOLUTION = 1_000;
 
-export function percentilesOf(values: Iterable<number>): Percentiles {
+export function computePercentiles(values: Iterable<number>): Percentiles {
   const histogram = build({
     lowestDiscernibleValue: 1,
     highestTrackableValue: LARGEST_VALUE,
--- a/lab/load/summary.ts
+++ b/lab/load/summary.ts
@@ -1,7 +1,7 @@
 /** The figures of a load run. */
-import type { Recorder } from '../workload/recorder.js';
+import type { WorkloadRecorder } from '../workload/recorder.js';
 import type { BackendRecords } from './backend-records.js';
-import { type Percentiles, percentilesOf } from './percentiles.js';
+import { type Percentiles, computePercentiles } from './percentiles.js';
 
 export interface LoadSummary {
   programs: number;
@@ -24,7 +24,7 @@
   cachedShare: number;
 }
 
-export function summarize(recorder: Recorder, records: BackendRecords): LoadSummary {
+export function summarizeLoad(recorder: WorkloadRecorder, records: BackendRecords): LoadSummary {
   const roots = recorder.programs.filter((program) => program.isRoot);
   const latencyOf = (program: (typeof roots)[number]): number =>
     program.lastAnswerAtMs - program.submittedAtMs - program.pausedMs;
@@ -42,23 +42,25 @@
     callsNotRun: calls.filter((call) => call.outcome === 'not_run').length,
     callsUnknown: calls.filter((call) => call.outcome === 'unknown').length,
     repeatedNonRepeatable: countRepeats(recorder, records),
-    programLatencyMs: percentilesOf(complete.map(latencyOf)),
+    programLatencyMs: computePercentiles(complete.map(latencyOf)),
     programLatencyMsByClass: Object.fromEntries(
       classes.map((name) => [
         name,
-        percentilesOf(complete.filter((program) => program.className === name).map(latencyOf)),
+        computePercentiles(complete.filter((program) => program.className === name).map(latencyOf)),
       ]),
     ),
-    firstTokenMs: percentilesOf(
+    firstTokenMs: computePercentiles(
       modelCalls.flatMap((call) => (call.firstTokenMs === undefined ? [] : [call.firstTokenMs])),
     ),
-    serviceCallMs: percentilesOf(serviceCalls.map((call) => call.endedAtMs - call.startedAtMs)),
+    serviceCallMs: computePercentiles(
+      serviceCalls.map((call) => call.endedAtMs - call.startedAtMs),
+    ),
     ...cacheShares(modelCalls),
   };
 }
 
 function cacheShares(
-  modelCalls: Recorder['calls'],
+  modelCalls: WorkloadRecorder['calls'],
 ): Pick<LoadSummary, 'wastedCacheShare' | 'cachedShare'> {
   let promptTokens = 0;
   let cachedTokens = 0;
@@ -77,7 +79,7 @@
 }
 
 /** Counts executions beyond the first of calls that may not be repeated. */
-function countRepeats(recorder: Recorder, records: BackendRecords): number {
+function countRepeats(recorder: WorkloadRecorder, records: BackendRecords): number {
   const executions = new Map<string, number>();
   for (const { executions: own } of records.services) {
     for (const { key } of own) {
--- a/lab/slopes/control-fleet.ts
+++ b/lab/slopes/control-fleet.ts
@@ -2,8 +2,8 @@
 import { createWorkFolder, removeWorkFolder } from '../cli/work-folder.js';
 import { Fleet } from '../fleet/fleet.js';
 import type { Deployment } from '../fleet/topology.js';
-import { findLeader } from '../fleet/cluster-view.js';
-import { metricIn, readMetrics } from '../fleet/process-metrics.js';
+import { findLeader } from '../fleet/cluster-status.js';
+import { metricValue, readMetrics } from '../fleet/process-metrics.js';
 
 const ZONES = ['region-1-zone-1', 'region-2-zone-1', 'region-3-zone-1'];
 
@@ -64,7 +64,7 @@
   async readCounters(process: string): Promise<ResourceCounters> {
     const { statusAddress } = this.fleet.process(process).plan;
     const page = await readMetrics(statusAddress!);
-    const read = (name: string): number => metricIn(page, name);
+    const read = (name: string): number => metricValue(page, name);
     return {
       cpuSeconds: read('process_cpu_seconds_total'),
       logBytes: read('ledgegauge_control_log_bytes'),
--- a/lab/torture/checker/call-checks.ts
+++ b/lab/torture/checker/call-checks.ts
@@ -1,7 +1,7 @@
 /** Checks of single calls: order, complete answers, history, isolation. */
 import { groupBy } from '../../../src/common/index.js';
 import type { EngineArrival, ServiceExecution, TortureHistory } from '../history.js';
-import { type PromiseCheck, ResultBuilder } from './promise.js';
+import { type InvariantCheck, ResultBuilder } from './invariant.js';
 
 /** Work of one call seen at a back end. */
 interface SeenWork {
@@ -19,12 +19,12 @@
   return { program: program!, sequence: Number(sequence), atMs: wallClockMs };
 }
 
-export function allWork(history: TortureHistory): SeenWork[] {
+export function observedWork(history: TortureHistory): SeenWork[] {
   return [...history.arrivals.map(workOfArrival), ...history.serviceExecutions.map(workOfService)];
 }
 
 /** Names a call among all of a history. */
-export function callName({ program, sequence }: Pick<SeenWork, 'program' | 'sequence'>): string {
+export function callKey({ program, sequence }: Pick<SeenWork, 'program' | 'sequence'>): string {
   return `${program}#${sequence}`;
 }
 
@@ -35,20 +35,20 @@
     times.set(call, Math.min(times.get(call) ?? Number.POSITIVE_INFINITY, atMs));
   };
   for (const { program, sequence, outcome, wallClockMs } of history.executions) {
-    if (outcome === 'finished') note(callName({ program, sequence }), wallClockMs);
+    if (outcome === 'finished') note(callKey({ program, sequence }), wallClockMs);
   }
   for (const work of history.serviceExecutions.map(workOfService)) {
-    note(callName(work), work.atMs);
+    note(callKey(work), work.atMs);
   }
   return times;
 }
 
 /** A call first reaches a back end only after the call before it had its answer. */
-export const orderCheck: PromiseCheck = {
+export const orderCheck: InvariantCheck = {
   promise: 'order',
   check(history) {
     const result = new ResultBuilder('order');
-    for (const [program, works] of groupBy(allWork(history), (work) => work.program)) {
+    for (const [program, works] of groupBy(observedWork(history), (work) => work.program)) {
       const first = new Map<number, number>();
       for (const { sequence, atMs } of works) {
         first.set(sequence, Math.min(first.get(sequence) ?? Number.POSITIVE_INFINITY, atMs));
@@ -63,8 +63,8 @@
       }
     }
     const finished = finishTimes(history);
-    for (const { program, sequence, atMs } of allWork(history)) {
-      const before = finished.get(callName({ program, sequence: sequence - 1 }));
+    for (const { program, sequence, atMs } of observedWork(history)) {
+      const before = finished.get(callKey({ program, sequence: sequence - 1 }));
       if (before === undefined) continue;
       result.expect(
         atMs >= before,
@@ -76,12 +76,12 @@
 };
 
 /** Every call that was issued ended with an answer that is right, or with a clear outcome. */
-export const completeAnswerCheck: PromiseCheck = {
+export const completeAnswerCheck: InvariantCheck = {
   promise: 'complete-answer',
   check(history) {
     const result = new ResultBuilder('complete-answer');
     for (const call of history.calls) {
-      const name = callName(call);
+      const name = callKey(call);
       result.expect(call.outcome !== 'pending', () => `${name}: never had a final answer`);
       if (call.outcome !== 'completed') continue;
       result.expect(call.isCorrect, () => `${name}: the answer is not the one to its request`);
@@ -97,7 +97,7 @@
 };
 
 /** What was answered once is answered the same ever after. */
-export const historyCheck: PromiseCheck = {
+export const historyCheck: InvariantCheck = {
   promise: 'history',
   check(history) {
     const result = new ResultBuilder('history');
@@ -112,7 +112,7 @@
 };
 
 /** Another tenant learns nothing, not even whether a program exists; engines keep tenants apart. */
-export const isolationCheck: PromiseCheck = {
+export const isolationCheck: InvariantCheck = {
   promise: 'isolation',
   check(history) {
     const result = new ResultBuilder('isolation');
--- a/lab/torture/checker/checker.test.ts
+++ b/lab/torture/checker/checker.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 import type { ObservedCall, ObservedProgram } from '../../workload/recorder.js';
 import { type TortureHistory, emptyHistory } from '../history.js';
-import { checkHistory, type PromiseName } from './index.js';
+import { checkHistory, type InvariantName } from './index.js';
 
 const PROGRAM = 'p1';
 const ENGINE = 'engine-1';
@@ -131,7 +131,7 @@
   };
 }
 
-function brokenPromises(change: (history: TortureHistory) => void): PromiseName[] {
+function brokenPromises(change: (history: TortureHistory) => void): InvariantName[] {
   const history = goodHistory();
   change(history);
   const { violations } = checkHistory(history);
@@ -145,7 +145,7 @@
     expect(Object.entries(tested).filter(([, times]) => times === 0)).toEqual([]);
   });
 
-  it.each<[string, PromiseName, (history: TortureHistory) => void]>([
+  it.each<[string, InvariantName, (history: TortureHistory) => void]>([
     ['a call that ran before the one before it', 'order', (h) => (h.arrivals[1]!.wallClockMs = 50)],
     [
       'a call that ran before the one before it had finished',
--- a/lab/torture/checker/index.ts
+++ b/lab/torture/checker/index.ts
@@ -7,12 +7,12 @@
   leavingCheck,
   plannedStopCheck,
 } from './operation-checks.js';
-import type { PromiseCheck, PromiseName, PromiseResult, Violation } from './promise.js';
+import type { InvariantCheck, InvariantName, InvariantResult, Violation } from './invariant.js';
 import { atMostOnceCheck, budgetCheck, notRunCheck } from './spending-checks.js';
 
-export type { PromiseName, PromiseResult, Violation } from './promise.js';
+export type { InvariantName, InvariantResult, Violation } from './invariant.js';
 
-export const PROMISE_CHECKS: readonly PromiseCheck[] = [
+export const INVARIANT_CHECKS: readonly InvariantCheck[] = [
   orderCheck,
   historyCheck,
   isolationCheck,
@@ -28,15 +28,15 @@
 
 export interface CheckResult {
   /** How often each promise was put to the test. */
-  tested: Record<PromiseName, number>;
+  tested: Record<InvariantName, number>;
   violations: Violation[];
 }
 
 export function checkHistory(history: TortureHistory): CheckResult {
-  const results: PromiseResult[] = PROMISE_CHECKS.map(({ check }) => check(history));
+  const results: InvariantResult[] = INVARIANT_CHECKS.map(({ check }) => check(history));
   const tested = Object.fromEntries(
     results.map((result) => [result.promise, result.tested]),
-  ) as Record<PromiseName, number>;
+  ) as Record<InvariantName, number>;
   const found = results.flatMap((result) => result.violations);
   return { tested, violations: [...found, ...history.directViolations] };
 }
--- a/lab/torture/checker/promise.ts
+++ b/lab/torture/checker/invariant.ts
@@ -1,7 +1,7 @@
 /** What a check finds. */
 import type { TortureHistory } from '../history.js';
 
-export type PromiseName =
+export type InvariantName =
   | 'order'
   | 'history'
   | 'isolation'
@@ -15,20 +15,20 @@
   | 'configuration';
 
 export interface Violation {
-  promise: PromiseName;
+  promise: InvariantName;
   detail: string;
 }
 
 /** The result of checking one promise: how often it was really put to the test, and the failures. */
-export interface PromiseResult {
-  promise: PromiseName;
+export interface InvariantResult {
+  promise: InvariantName;
   tested: number;
   violations: Violation[];
 }
 
-export interface PromiseCheck {
-  promise: PromiseName;
-  check(history: TortureHistory): PromiseResult;
+export interface InvariantCheck {
+  promise: InvariantName;
+  check(history: TortureHistory): InvariantResult;
 }
 
 /** Collects a check's results. */
@@ -36,7 +36,7 @@
   private tested = 0;
   private readonly violations: Violation[] = [];
 
-  constructor(private readonly promise: PromiseName) {}
+  constructor(private readonly promise: InvariantName) {}
 
   /** One test of the promise; `detail` describes the violation if `holds` is false. */
   expect(holds: boolean, detail: () => string): void {
@@ -44,7 +44,7 @@
     if (!holds) this.violations.push({ promise: this.promise, detail: detail() });
   }
 
-  build(): PromiseResult {
+  build(): InvariantResult {
     return { promise: this.promise, tested: this.tested, violations: this.violations };
   }
 }
--- a/lab/torture/checker/operation-checks.ts
+++ b/lab/torture/checker/operation-checks.ts
@@ -1,7 +1,7 @@
 /** Checks of operations: leaving back ends, planned stops, engine memory, configuration. */
 import { groupBy } from '../../../src/common/index.js';
 import type { ObservedConfirm, TortureHistory } from '../history.js';
-import { type PromiseCheck, ResultBuilder } from './promise.js';
+import { type InvariantCheck, ResultBuilder } from './invariant.js';
 
 /** Time after acceptance from which a leaving back end gets no new work, in milliseconds. */
 export const LEAVING_LIMIT_MS = 3_000;
@@ -9,7 +9,7 @@
 export const IN_FORCE_LIMIT_MS = 7_000;
 const EXIT_OK = 0;
 
-export const leavingCheck: PromiseCheck = {
+export const leavingCheck: InvariantCheck = {
   promise: 'leaving',
   check(history) {
     const result = new ResultBuilder('leaving');
@@ -31,7 +31,7 @@
 };
 
 /** A planned stop ends with code 0 and cuts no request that was under way. */
-export const plannedStopCheck: PromiseCheck = {
+export const plannedStopCheck: InvariantCheck = {
   promise: 'planned-stop',
   check(history) {
     const result = new ResultBuilder('planned-stop');
@@ -54,7 +54,7 @@
   },
 };
 
-export const engineMemoryCheck: PromiseCheck = {
+export const engineMemoryCheck: InvariantCheck = {
   promise: 'engine-memory',
   check(history) {
     const result = new ResultBuilder('engine-memory');
@@ -70,7 +70,7 @@
 };
 
 /** Accepted revisions stay, one content wins, resends are answered alike, nothing reverts. */
-export const configurationCheck: PromiseCheck = {
+export const configurationCheck: InvariantCheck = {
   promise: 'configuration',
   check(history) {
     const result = new ResultBuilder('configuration');
--- a/lab/torture/checker/spending-checks.ts
+++ b/lab/torture/checker/spending-checks.ts
@@ -1,8 +1,8 @@
 /** Checks of what ran: budgets, calls told as not run, calls that may run once. */
 import { groupBy } from '../../../src/common/index.js';
 import type { TortureHistory } from '../history.js';
-import { allWork, callName } from './call-checks.js';
-import { type PromiseCheck, ResultBuilder } from './promise.js';
+import { observedWork, callKey } from './call-checks.js';
+import { type InvariantCheck, ResultBuilder } from './invariant.js';
 
 const SERVICE_CALL_COST = 1;
 
@@ -20,7 +20,7 @@
 }
 
 /** By the engines' own count, no program and nothing below it spent more than its budget. */
-export const budgetCheck: PromiseCheck = {
+export const budgetCheck: InvariantCheck = {
   promise: 'budget',
   check(history) {
     const result = new ResultBuilder('budget');
@@ -45,7 +45,7 @@
 };
 
 /** What a caller was told has not run did not run, and never does. */
-export const notRunCheck: PromiseCheck = {
+export const notRunCheck: InvariantCheck = {
   promise: 'not-run',
   check(history) {
     const result = new ResultBuilder('not-run');
@@ -53,8 +53,8 @@
     for (const { payload, code } of history.refusedPayloads) {
       result.expect(!payloads.has(payload), () => `${payload}: refused as ${code}, but it ran`);
     }
-    const work = groupBy(allWork(history), callName);
-    for (const [call, exchanges] of groupBy(history.exchanges, callName)) {
+    const work = groupBy(observedWork(history), callKey);
+    for (const [call, exchanges] of groupBy(history.exchanges, callKey)) {
       const refused = exchanges.filter((exchange) => exchange.kind === 'not_run');
       if (refused.length === 0) continue;
       const refusedNumbers = new Set(refused.map((exchange) => exchange.submission));
@@ -68,7 +68,7 @@
 };
 
 /** Requests that may not be repeated are executed once at most, by the services' own records. */
-export const atMostOnceCheck: PromiseCheck = {
+export const atMostOnceCheck: InvariantCheck = {
   promise: 'at-most-once',
   check(history) {
     const result = new ResultBuilder('at-most-once');
--- a/lab/torture/memory-watch.ts
+++ b/lab/torture/engine-memory.ts
@@ -1,7 +1,7 @@
 /** Looks at what engines hold and run for programs whose end the callers had confirmed. */
 import { request } from 'undici';
 import { sleep } from '../../src/common/index.js';
-import type { FleetProcess } from '../fleet/child-process.js';
+import type { FleetProcess } from '../fleet/fleet-process.js';
 import type { Fleet } from '../fleet/fleet.js';
 import type { MemoryObservation } from './history.js';
 
@@ -15,7 +15,7 @@
 }
 
 /** One observation an engine, made as soon as it holds nothing, or at the limit. */
-export function observeMemory(
+export function observeEngineMemory(
   fleet: Fleet,
   ended: ReadonlySet<string>,
 ): Promise<MemoryObservation[]> {
--- a/lab/torture/faults/backend-faults.ts
+++ b/lab/torture/faults/backend-faults.ts
@@ -1,7 +1,7 @@
 /** Back ends that answer badly or not at all. */
 import { request } from 'undici';
 import { sleep } from '../../../src/common/index.js';
-import type { FleetProcess } from '../../fleet/child-process.js';
+import type { FleetProcess } from '../../fleet/fleet-process.js';
 import type { Fault, FaultContext } from '../fault.js';
 import { pickProcess } from './process-faults.js';
 
--- a/lab/torture/faults/disk-faults.ts
+++ b/lab/torture/faults/disk-faults.ts
@@ -11,9 +11,9 @@
 } from 'node:fs';
 import { join } from 'node:path';
 import { EXIT_STORAGE } from '../../../src/cli/exit-codes.js';
-import type { FleetProcess } from '../../fleet/child-process.js';
-import { ProcessStartError } from '../../fleet/child-process.js';
-import { waitFullyReplicated } from '../../fleet/cluster-view.js';
+import type { FleetProcess } from '../../fleet/fleet-process.js';
+import { ProcessStartError } from '../../fleet/fleet-process.js';
+import { waitUntilFullyReplicated } from '../../fleet/cluster-status.js';
 import type { Fault, FaultContext } from '../fault.js';
 import { pickProcess } from './process-faults.js';
 
@@ -21,7 +21,7 @@
 const TORN_BYTES = 37;
 
 function loseDisk(context: FaultContext, control: FleetProcess): Promise<void> {
-  return context.locks.hold(control.name, () => context.fleet.loseDisk(control.name));
+  return context.locks.runExclusive(control.name, () => context.fleet.loseDisk(control.name));
 }
 
 const diskLost: Fault = {
@@ -40,7 +40,7 @@
     const first = random.pick(controls);
     const second = random.pick(controls.filter((control) => control !== first));
     await loseDisk(context, first);
-    await waitFullyReplicated(fleet, REPAIR_PATIENCE_MS);
+    await waitUntilFullyReplicated(fleet, REPAIR_PATIENCE_MS);
     await loseDisk(context, second);
   },
 };
@@ -50,7 +50,7 @@
   family: 'process',
   run(context) {
     const control = pickProcess(context, 'control');
-    return context.locks.hold(control.name, () => tearLastWrite(context, control));
+    return context.locks.runExclusive(control.name, () => tearLastWrite(context, control));
   },
 };
 
@@ -68,7 +68,7 @@
   family: 'disk',
   run(context) {
     const control = pickProcess(context, 'control');
-    return context.locks.hold(control.name, () => damageLog(context, control));
+    return context.locks.runExclusive(control.name, () => damageLog(context, control));
   },
 };
 
--- a/lab/torture/faults/process-faults.ts
+++ b/lab/torture/faults/process-faults.ts
@@ -1,8 +1,8 @@
 /** Processes that die, stand still and come back, and those that are stopped on purpose. */
 import { sleep } from '../../../src/common/index.js';
-import type { FleetProcess } from '../../fleet/child-process.js';
+import type { FleetProcess } from '../../fleet/fleet-process.js';
 import type { ProcessKind } from '../../fleet/fleet-plan.js';
-import { findLeader } from '../../fleet/cluster-view.js';
+import { findLeader } from '../../fleet/cluster-status.js';
 import type { Fault, FaultContext } from '../fault.js';
 
 const SHORT_DOWNTIME_MS = [200, 1_500] as const;
@@ -33,7 +33,7 @@
   context: FaultContext,
   downtime: readonly [number, number],
 ): Promise<void> {
-  await context.locks.hold(process.name, async () => {
+  await context.locks.runExclusive(process.name, async () => {
     await process.kill();
     await sleep(context.random.integer(...downtime));
     await process.start();
@@ -45,7 +45,7 @@
   context: FaultContext,
   duration: readonly [number, number],
 ): Promise<void> {
-  await context.locks.hold(process.name, async () => {
+  await context.locks.runExclusive(process.name, async () => {
     process.signal('SIGSTOP');
     await sleep(context.random.integer(...duration));
     process.signal('SIGCONT');
@@ -53,7 +53,7 @@
 }
 
 function stopAsPlanned(process: FleetProcess, context: FaultContext): Promise<void> {
-  return context.locks.hold(process.name, () => stopAndRestart(process, context));
+  return context.locks.runExclusive(process.name, () => stopAndRestart(process, context));
 }
 
 async function stopAndRestart(process: FleetProcess, context: FaultContext): Promise<void> {
--- a/lab/torture/history-recorder.ts
+++ b/lab/torture/history-recorder.ts
@@ -1,20 +1,20 @@
 /** Fills a history while a seed runs. */
 import type { ExchangeRecord } from '../../src/client/index.js';
-import { Recorder } from '../workload/recorder.js';
+import { WorkloadRecorder } from '../workload/recorder.js';
 import { type ObservedExchange, type TortureHistory, emptyHistory } from './history.js';
 
 const CALL_PATH = /^\/v1\/programs\/([^/]+)\/calls\/(\d+)$/;
 
 export class HistoryRecorder {
   readonly history: TortureHistory;
-  readonly workload = new Recorder();
+  readonly workload = new WorkloadRecorder();
 
   constructor(seed: number) {
     this.history = emptyHistory(seed);
   }
 
   /** Notes an exchange of a caller; only those about calls matter. */
-  noteExchange(record: ExchangeRecord): void {
+  recordExchange(record: ExchangeRecord): void {
     const match = CALL_PATH.exec(record.path);
     if (!match) return;
     const { gateway, submission, startedAtMs, endedAtMs } = record;
--- a/lab/torture/history.ts
+++ b/lab/torture/history.ts
@@ -6,7 +6,7 @@
 import type { ExecutionRecord } from '../../emulator/model/engine-model.js';
 import type { ServiceExecution as ServiceRecord } from '../../emulator/service/service-server.js';
 import type { ObservedCall, ObservedProgram } from '../workload/recorder.js';
-import type { Violation } from './checker/promise.js';
+import type { Violation } from './checker/invariant.js';
 
 /** One exchange of a caller with one gateway about one submission of a call. */
 export interface ObservedExchange {
--- a/lab/torture/operators.ts
+++ b/lab/torture/operator-simulator.ts
@@ -20,21 +20,21 @@
   body: unknown;
 }
 
-export interface OperatorsOptions {
+export interface OperatorSimulatorOptions {
   fleet: Fleet;
   random: SeededRandom;
   recorder: HistoryRecorder;
   watcher: RevisionWatcher;
 }
 
-export class Operators {
-  constructor(private readonly options: OperatorsOptions) {}
+export class OperatorSimulator {
+  constructor(private readonly options: OperatorSimulatorOptions) {}
 
   /**
    * Two operators drain an engine each, planned upon the same revision and confirmed together.
    * @returns the engine that leaves, unless nobody got an answer
    */
-  async race(): Promise<Omit<Leaving, 'untilMs'> | undefined> {
+  async confirmConcurrently(): Promise<Omit<Leaving, 'untilMs'> | undefined> {
     const { fleet, random } = this.options;
     const engines = fleet.ofKind('engine').map((engine) => engine.name);
     const first = random.pick(engines);
@@ -56,7 +56,10 @@
     const stale = this.confirm(loser, randomUUID());
     const { watcher } = this.options;
     const { revision } = revisions[winner]!;
-    await Promise.all([stale, watcher.noteInForce(revision, acceptedAtMs, IN_FORCE_PATIENCE_MS)]);
+    await Promise.all([
+      stale,
+      watcher.waitUntilInEffect(revision, acceptedAtMs, IN_FORCE_PATIENCE_MS),
+    ]);
     return { engine: winner === 0 ? first : second, acceptedAtMs };
   }
 
@@ -69,7 +72,7 @@
     if (plan) await this.confirmTwice(plan);
   }
 
-  async noteFinalRevisions(): Promise<void> {
+  async recordFinalRevisions(): Promise<void> {
     const answer = await this.persist('GET', `/v1/history?limit=${HISTORY_LIMIT}`, undefined);
     for (const { revision, planId, contentHash } of (answer?.body ?? []) as Revision[]) {
       this.options.recorder.history.finalRevisions.push({ revision, planId, contentHash });
--- a/lab/torture/probes/availability-probe.ts
+++ b/lab/torture/probes/availability-probe.ts
@@ -14,13 +14,13 @@
 const PROBES_PER_GATEWAY = 2;
 
 /** One probe's time from the first try to the answer. */
-export interface ProbeTime {
+export interface ProbeInterval {
   startedAtMs: number;
   endedAtMs: number;
 }
 
 export class AvailabilityProbe {
-  readonly times: ProbeTime[] = [];
+  readonly times: ProbeInterval[] = [];
   private readonly stopping = new AbortController();
   private readonly clients: TenantClients[] = [];
   private tasks: Promise<void>[] = [];
--- a/lab/torture/probes/caller-probes.ts
+++ b/lab/torture/probes/caller-probes.ts
@@ -5,7 +5,13 @@
 import { sleep } from '../../../src/common/index.js';
 import type { Fleet } from '../../fleet/fleet.js';
 import type { HistoryRecorder } from '../history-recorder.js';
-import { type Gateways, type RawCall, answerOf, callPath, isNotRun } from './gateways.js';
+import {
+  type RawGatewayClient,
+  type RawCall,
+  answerContent,
+  callPath,
+  isNotRun,
+} from './raw-gateway-client.js';
 
 const PAUSE_MS = 100;
 const TRIES = 40;
@@ -13,7 +19,7 @@
 
 export interface CallerProbesOptions {
   fleet: Fleet;
-  gateways: Gateways;
+  gateways: RawGatewayClient;
   recorder: HistoryRecorder;
   /** Distinguishes payloads of this seed. */
   seed: number;
@@ -60,7 +66,7 @@
     );
     const exchanges = await Promise.all(everywhere);
     exchanges.push(await this.send({ ...call, gateway: this.counter, isResend: true }));
-    const answers = exchanges.map(answerOf).filter((answer) => answer !== undefined);
+    const answers = exchanges.map(answerContent).filter((answer) => answer !== undefined);
     const copied = { program, sequence: 1, payload, isRepeatable: false, answers };
     recorder.history.copiedCalls.push(copied);
   }
@@ -78,7 +84,10 @@
     await this.send({ ...call, gateway: call.gateway + 1, isResend: true });
   }
 
-  private noteIfRefused(payload: string, exchange: Awaited<ReturnType<Gateways['send']>>): boolean {
+  private noteIfRefused(
+    payload: string,
+    exchange: Awaited<ReturnType<RawGatewayClient['send']>>,
+  ): boolean {
     if (exchange.kind !== 'problem' || !isNotRun(exchange)) return false;
     const { code } = exchange.problem;
     this.options.recorder.history.refusedPayloads.push({ payload, code });
@@ -129,7 +138,7 @@
     let { gateway, submission = 1 } = call;
     for (let tries = 0; tries < TRIES; tries += 1) {
       const exchange = await this.send({ ...call, gateway, submission, isResend: tries > 0 });
-      if (answerOf(exchange) !== undefined) return true;
+      if (answerContent(exchange) !== undefined) return true;
       if (exchange.kind === 'problem') {
         if (!exchange.problem.sendAgain) return false;
         if (exchange.problem.outcome === 'not_run') {
@@ -142,7 +151,7 @@
     return false;
   }
 
-  private send(call: RawCall): ReturnType<Gateways['send']> {
+  private send(call: RawCall): ReturnType<RawGatewayClient['send']> {
     return this.options.gateways.send(call);
   }
 }
--- a/lab/torture/probes/final-reads.ts
+++ b/lab/torture/probes/final-reads.ts
@@ -3,7 +3,7 @@
 import type { SeededRandom } from '../../../src/common/index.js';
 import type { Fleet } from '../../fleet/fleet.js';
 import type { TortureHistory } from '../history.js';
-import { type Gateways, answerOf, callPath } from './gateways.js';
+import { type RawGatewayClient, answerContent, callPath } from './raw-gateway-client.js';
 
 const CALLS_READ = 60;
 const PROGRAMS_READ = 20;
@@ -12,12 +12,12 @@
 
 export interface FinalReadsOptions {
   fleet: Fleet;
-  gateways: Gateways;
+  gateways: RawGatewayClient;
   random: SeededRandom;
   history: TortureHistory;
 }
 
-export async function readFinally(options: FinalReadsOptions): Promise<void> {
+export async function runFinalReads(options: FinalReadsOptions): Promise<void> {
   await readAnswersAgain(options);
   await readAsOtherTenant(options);
   await readSpending(options);
@@ -34,7 +34,7 @@
       program,
       sequence,
       firstAnswer: answer!,
-      laterAnswer: answerOf(exchange) ?? describe(exchange),
+      laterAnswer: answerContent(exchange) ?? describe(exchange),
     });
   }
 }
@@ -78,7 +78,7 @@
 }
 
 async function readPersistently(
-  gateways: Gateways,
+  gateways: RawGatewayClient,
   read: { gateway: number; tenant: string; path: string },
 ): Promise<Exchange> {
   let exchange: Exchange = { kind: 'broken', reason: 'not sent' };
--- a/lab/torture/probes/gateways.ts
+++ b/lab/torture/probes/raw-gateway-client.ts
@@ -16,7 +16,7 @@
   isResend?: boolean;
 }
 
-export class Gateways {
+export class RawGatewayClient {
   private readonly transport = new Transport(CONNECT_TIMEOUT_MS);
 
   constructor(private readonly fleet: Fleet) {}
@@ -47,7 +47,7 @@
 }
 
 /** Content of an answered call; undefined when there is none. */
-export function answerOf(exchange: Exchange): string | undefined {
+export function answerContent(exchange: Exchange): string | undefined {
   if (exchange.kind === 'answer') return exchange.answer.content;
   if (exchange.kind !== 'document') return undefined;
   const body = exchange.body as { choices?: { message: { content: string } }[] };
--- a/lab/torture/process-locks.ts
+++ b/lab/torture/process-locks.ts
@@ -3,7 +3,7 @@
   private readonly tails = new Map<string, Promise<void>>();
 
   /** Runs `work` once all earlier work on the same process has ended. */
-  async hold(process: string, work: () => Promise<void>): Promise<void> {
+  async runExclusive(process: string, work: () => Promise<void>): Promise<void> {
     const before = this.tails.get(process) ?? Promise.resolve();
     const own = before.then(work);
     this.tails.set(
--- a/lab/torture/record-reader.ts
+++ b/lab/torture/record-reader.ts
@@ -1,7 +1,7 @@
 /** Reads what back ends appended to their record files since the last time. */
 import { closeSync, existsSync, fstatSync, openSync, readSync } from 'node:fs';
 import type { Fleet } from '../fleet/fleet.js';
-import { recordFileOf } from '../fleet/fleet-plan.js';
+import { recordFilePath } from '../fleet/fleet-plan.js';
 import type {
   EngineArrival,
   EngineExecution,
@@ -23,7 +23,7 @@
   readInto(history: TortureHistory | undefined): void {
     const backends = [...this.fleet.ofKind('engine'), ...this.fleet.ofKind('service')];
     for (const { name } of backends) {
-      const records = this.readNew(recordFileOf(this.fleet.workFolder, name));
+      const records = this.readNew(recordFilePath(this.fleet.workFolder, name));
       for (const record of history ? records : []) addRecord(history!, record);
     }
   }
--- a/lab/torture/revision-watcher.ts
+++ b/lab/torture/revision-watcher.ts
@@ -1,7 +1,7 @@
 /** Watches on which revision each gateway acts, from outside: by its metrics page. */
 import { sleep } from '../../src/common/index.js';
 import type { Fleet } from '../fleet/fleet.js';
-import { metricIn, readMetrics } from '../fleet/process-metrics.js';
+import { metricValue, readMetrics } from '../fleet/process-metrics.js';
 import type { HistoryRecorder } from './history-recorder.js';
 
 const POLL_MS = 100;
@@ -30,7 +30,11 @@
   }
 
   /** Waits until no gateway acts on an earlier revision; notes how long that took. */
-  async noteInForce(revision: number, acceptedAtMs: number, patienceMs: number): Promise<void> {
+  async waitUntilInEffect(
+    revision: number,
+    acceptedAtMs: number,
+    patienceMs: number,
+  ): Promise<void> {
     const isInForce = (): boolean => [...this.acting.values()].every((acted) => acted >= revision);
     while (!isInForce() && Date.now() - acceptedAtMs < patienceMs) await sleep(POLL_MS / 4);
     const afterMs = isInForce() ? Date.now() - acceptedAtMs : undefined;
@@ -54,6 +58,6 @@
 
 async function readActingRevision(address: string): Promise<number | undefined> {
   const page = await readMetrics(address, TIMEOUT_MS);
-  if (metricIn(page, 'ledgegauge_gateway_lease_held') !== 1) return undefined;
-  return metricIn(page, 'ledgegauge_gateway_revision');
+  if (metricValue(page, 'ledgegauge_gateway_lease_held') !== 1) return undefined;
+  return metricValue(page, 'ledgegauge_gateway_revision');
 }
--- a/lab/torture/seed-run.ts
+++ b/lab/torture/seed-run.ts
@@ -2,15 +2,15 @@
 import { SeededRandom, describeError, monotonicMs, sleep } from '../../src/common/index.js';
 import type { Fleet } from '../fleet/fleet.js';
 import { type CheckResult, checkHistory } from './checker/index.js';
-import { waitFullyReplicated } from '../fleet/cluster-view.js';
+import { waitUntilFullyReplicated } from '../fleet/cluster-status.js';
 import type { TortureHistory } from './history.js';
 import { HistoryRecorder } from './history-recorder.js';
-import { observeMemory } from './memory-watch.js';
-import { Operators } from './operators.js';
+import { observeEngineMemory } from './engine-memory.js';
+import { OperatorSimulator } from './operator-simulator.js';
 import { AvailabilityProbe } from './probes/availability-probe.js';
 import { CallerProbes } from './probes/caller-probes.js';
-import { readFinally } from './probes/final-reads.js';
-import { Gateways } from './probes/gateways.js';
+import { runFinalReads } from './probes/final-reads.js';
+import { RawGatewayClient } from './probes/raw-gateway-client.js';
 import { ProcessLocks } from './process-locks.js';
 import type { RecordReader } from './record-reader.js';
 import { RevisionWatcher } from './revision-watcher.js';
@@ -45,9 +45,9 @@
 export class SeedRun {
   private readonly recorder: HistoryRecorder;
   private readonly random: SeededRandom;
-  private readonly gateways: Gateways;
+  private readonly gateways: RawGatewayClient;
   private readonly watcher: RevisionWatcher;
-  private readonly operators: Operators;
+  private readonly operators: OperatorSimulator;
   private readonly availability: AvailabilityProbe;
   private readonly locks = new ProcessLocks();
   private readonly spans: FaultSpan[] = [];
@@ -62,11 +62,11 @@
   ) {
     this.recorder = new HistoryRecorder(seed);
     this.random = new SeededRandom(seed).fork();
-    this.gateways = new Gateways(fleet);
+    this.gateways = new RawGatewayClient(fleet);
     this.watcher = new RevisionWatcher(fleet, this.recorder);
     this.availability = new AvailabilityProbe(fleet);
     const { random, recorder, watcher } = this;
-    this.operators = new Operators({ fleet, random: random.fork(), recorder, watcher });
+    this.operators = new OperatorSimulator({ fleet, random: random.fork(), recorder, watcher });
   }
 
   async run(): Promise<SeedResult> {
@@ -77,10 +77,10 @@
     const history = this.recorder.complete();
     const ended = history.programs.filter((program) => program.isEnded && program.id !== '');
     const endedIds = new Set(ended.map((program) => program.id));
-    history.memory.push(...(await observeMemory(this.fleet, endedIds)));
+    history.memory.push(...(await observeEngineMemory(this.fleet, endedIds)));
     const { fleet, gateways, random } = this;
-    await readFinally({ fleet, gateways, random, history });
-    await this.operators.noteFinalRevisions();
+    await runFinalReads({ fleet, gateways, random, history });
+    await this.operators.recordFinalRevisions();
     await this.gateways.close();
     this.records.readInto(history);
     return this.result(history);
@@ -123,7 +123,7 @@
   /** Operators race; the engine of the winner leaves and is watched. */
   private async drainAnEngine(): Promise<void> {
     await this.sleepUntil(this.schedule.operatorsAtMs);
-    const leaving = await this.operators.race();
+    const leaving = await this.operators.confirmConcurrently();
     if (!leaving) return;
     await sleep(WATCH_LEAVING_MS - (Date.now() - leaving.acceptedAtMs));
     this.recorder.history.leavings.push({ ...leaving, untilMs: Date.now() });
@@ -131,7 +131,7 @@
 
   /** Starts what two faults on one process may have left ended. */
   private async mendProcesses(): Promise<void> {
-    await this.fleet.healAll();
+    await this.fleet.clearFaults();
     for (const process of this.fleet.processes.values()) {
       process.signal('SIGCONT');
       if (!process.isRunning) await process.start();
@@ -141,8 +141,8 @@
   private async heal(): Promise<void> {
     try {
       await this.mendProcesses();
-      await this.fleet.waitGatewaysReady();
-      await waitFullyReplicated(this.fleet, HEAL_PATIENCE_MS);
+      await this.fleet.waitUntilGatewaysReady();
+      await waitUntilFullyReplicated(this.fleet, HEAL_PATIENCE_MS);
     } catch (error) {
       this.inconclusive ??= `not healed: ${describeError(error)}`;
     }
--- a/lab/torture/torture-load.ts
+++ b/lab/torture/torture-load.ts
@@ -40,7 +40,7 @@
     this.clients = createGatewayClients(fleet, {
       patienceMs: PATIENCE_MS,
       silenceMs: SILENCE_MS,
-      onExchange: (exchange) => recorder.noteExchange(exchange),
+      onExchange: (exchange) => recorder.recordExchange(exchange),
     });
   }
 
--- a/lab/torture/torture-report.ts
+++ b/lab/torture/torture-report.ts
@@ -1,5 +1,5 @@
 /** Adds up the seeds of a torture run. */
-import { type Percentiles, percentilesOf } from '../load/percentiles.js';
+import { type Percentiles, computePercentiles } from '../load/percentiles.js';
 import type { SeedResult } from './seed-run.js';
 
 export interface SeedFinding {
@@ -51,7 +51,7 @@
     checks: addUp(results.map((result) => result.check.tested)),
     seedsTesting: addUp(results.map(({ check }) => testedAtAll(check.tested))),
     unavailableMs: waitsByFault(results),
-    inForceMs: percentilesOf(results.flatMap((result) => result.inForceMs)),
+    inForceMs: computePercentiles(results.flatMap((result) => result.inForceMs)),
     calls: calls.length,
     callsCompleted: countOf('completed'),
     callsNotRun: countOf('not_run'),
@@ -93,5 +93,5 @@
     const name = faults[0]!;
     waits.set(name, [...(waits.get(name) ?? []), unavailableMs]);
   }
-  return Object.fromEntries([...waits].map(([name, values]) => [name, percentilesOf(values)]));
+  return Object.fromEntries([...waits].map(([name, values]) => [name, computePercentiles(values)]));
 }
--- a/lab/workload/program-runner.ts
+++ b/lab/workload/program-runner.ts
@@ -9,11 +9,16 @@
 } from '../../src/client/index.js';
 import { type ChatMessage, countMessageTokens, sleep } from '../../src/common/index.js';
 import type { ModelTurn, ProgramPlan, ServiceTurn, Turn } from './program-plan.js';
-import type { ObservedCall, ObservedOutcome, ObservedProgram, Recorder } from './recorder.js';
+import type {
+  ObservedCall,
+  ObservedOutcome,
+  ObservedProgram,
+  WorkloadRecorder,
+} from './recorder.js';
 
 export interface ProgramRunnerOptions {
   clientOf: (tenant: string) => ProgramClient;
-  recorder: Recorder;
+  recorder: WorkloadRecorder;
   /** Called when a root program's place in the workload is free again. */
   signal?: AbortSignal;
 }
@@ -64,7 +69,7 @@
       if (!isExpected) throw error;
     }
     await this.end();
-    this.options.recorder.noteProgram(this.observed);
+    this.options.recorder.recordProgram(this.observed);
     return this.observed.isComplete;
   }
 
@@ -106,7 +111,7 @@
     observed.knownPrefixTokens = this.knownPrefixTokens;
     const answer = await this.observe(observed, () => this.program.call(delta, turn.maxTokens));
     observed.isCorrect = answer.content === expectedAnswer(model, whole, turn.maxTokens);
-    this.options.recorder.noteCall(observed);
+    this.options.recorder.recordCall(observed);
     this.history.push(own, { role: 'assistant', content: answer.content });
     this.knownPrefixTokens = countMessageTokens(this.history);
   }
@@ -120,7 +125,7 @@
       this.program.callService({ name: service, operation, payload, repeatable: isRepeatable }),
     );
     observed.isCorrect = answer.content === expectedServiceAnswer(service, operation, payload);
-    this.options.recorder.noteCall(observed);
+    this.options.recorder.recordCall(observed);
   }
 
   private async runChildren(children: ProgramPlan[]): Promise<void> {
@@ -169,7 +174,7 @@
       if (error instanceof CallFailedError) observed.problemCode = error.problem.code;
       // A call without an answer cannot be a wrong one.
       observed.isCorrect = true;
-      this.options.recorder.noteCall(observed);
+      this.options.recorder.recordCall(observed);
       throw error;
     }
   }
--- a/lab/workload/recorder.ts
+++ b/lab/workload/recorder.ts
@@ -46,15 +46,15 @@
   pausedMs: number;
 }
 
-export class Recorder {
+export class WorkloadRecorder {
   readonly calls: ObservedCall[] = [];
   readonly programs: ObservedProgram[] = [];
 
-  noteCall(call: ObservedCall): void {
+  recordCall(call: ObservedCall): void {
     this.calls.push(call);
   }
 
-  noteProgram(program: ObservedProgram): void {
+  recordProgram(program: ObservedProgram): void {
     this.programs.push(program);
   }
 }
--- a/tests/failures.test.ts
+++ b/tests/failures.test.ts
@@ -6,9 +6,13 @@
 import { EXIT_OK, EXIT_STORAGE } from '../src/cli/exit-codes.js';
 import type { Program, ProgramClient } from '../src/client/index.js';
 import { sleep } from '../src/common/index.js';
-import { ProcessStartError } from '../lab/fleet/child-process.js';
+import { ProcessStartError } from '../lab/fleet/fleet-process.js';
 import { readBackendRecords } from '../lab/load/backend-records.js';
-import { findLeader, viewMembers, waitFullyReplicated } from '../lab/fleet/cluster-view.js';
+import {
+  findLeader,
+  readMemberStatuses,
+  waitUntilFullyReplicated,
+} from '../lab/fleet/cluster-status.js';
 import { flipByte, lastSegment } from '../lab/torture/faults/disk-faults.js';
 import { type SmallFleet, startSmallFleet } from './support/small-fleet.js';
 import { waitUntil } from './support/wait-until.js';
@@ -29,9 +33,9 @@
 });
 afterAll(() => small.down());
 beforeEach(async () => {
-  await small.fleet.healAll();
-  await small.fleet.waitGatewaysReady();
-  await waitFullyReplicated(small.fleet, HEAL_MS);
+  await small.fleet.clearFaults();
+  await small.fleet.waitUntilGatewaysReady();
+  await waitUntilFullyReplicated(small.fleet, HEAL_MS);
 });
 
 /** A question whose answer is long enough to be disturbed in the middle. */
@@ -130,7 +134,7 @@
     }
     const { revision } = await fleet.applyIntents(document);
     await gateway.start();
-    await fleet.waitGatewaysReady();
+    await fleet.waitUntilGatewaysReady();
     const response = await request(`http://${gateway.plan.statusAddress}/metrics`);
     const metrics = await response.body.text();
     expect(metrics).toContain(`ledgegauge_gateway_revision ${revision}\n`);
@@ -152,7 +156,7 @@
       await small.fleet.process(gatewayOf(0)).kill();
       await outcome;
       await small.fleet.process(gatewayOf(0)).start();
-      await small.fleet.waitGatewaysReady();
+      await small.fleet.waitUntilGatewaysReady();
     }
     const { services } = await readBackendRecords(small.fleet);
     const executions = services.flatMap((service) => service.executions);
@@ -202,7 +206,7 @@
     await program.end();
     await sleep(500);
     expect(await heldPrograms(engine)).toContain(program.id);
-    await small.fleet.healAll();
+    await small.fleet.clearFaults();
     const isFree = async (): Promise<boolean> => !(await heldPrograms(engine)).includes(program.id);
     await waitUntil('released', isFree, 10_000);
   });
@@ -269,7 +273,7 @@
     const { content } = await program.call(messages, MAX_TOKENS);
     for (const name of ['control-1', 'control-2', 'control-3']) {
       await small.fleet.loseDisk(name);
-      await waitFullyReplicated(small.fleet, HEAL_MS);
+      await waitUntilFullyReplicated(small.fleet, HEAL_MS);
     }
     expect((await program.fetch(1)).content).toBe(content);
   });
@@ -284,8 +288,8 @@
     expect(await control.exit).toBe(EXIT_STORAGE);
     rmSync(control.plan.dataFolder!, { recursive: true });
     await control.start();
-    await waitFullyReplicated(small.fleet, HEAL_MS);
-    const ids = (await viewMembers(small.fleet)).map((view) => view.groups[0]!.member);
+    await waitUntilFullyReplicated(small.fleet, HEAL_MS);
+    const ids = (await readMemberStatuses(small.fleet)).map((view) => view.groups[0]!.member);
     expect(new Set(ids).size).toBe(3);
   });
 });
