--- a/lab/ledger/ledger-host.ts
+++ b/lab/ledger/ledger-host.ts
@@ -1,10 +1,10 @@
 /**
- * One member of a ledger as a process, for measuring it without a directory and gateways.
+ * Process with one ledger member, for measuring the ledger without a directory and gateways.
  *
  *     node ledger-host.js SETTINGS
  *
- * SETTINGS is a JSON object as in `LedgerHostSettings`. A line `usage` on standard input is answered with
- * a line of `LedgerHostUsage`; the end of standard input ends the process.
+ * SETTINGS is a JSON object of type `LedgerHostSettings`. For each line `usage` on standard input, the
+ * process writes a `LedgerHostUsage` as one line of JSON. It exits at the end of standard input.
  */
 import { mkdir, writeFile } from 'node:fs/promises';
 import { type PerformanceEntry, PerformanceObserver, constants } from 'node:perf_hooks';
@@ -35,27 +35,27 @@
   leads: boolean;
   /** Processor time so far, in milliseconds. */
   processorMs: number;
-  /** Bytes of log entries that were sent to voters so far. */
+  /** Bytes of log entries sent to voters so far. */
   voterBytes: number;
   logSyncs: number;
-  /** Collections of young and of all objects so far, and the main thread's time in them, in milliseconds. */
-  collections: CollectionFigures;
+  /** Minor and other garbage collections so far, and the main thread's time in them, in milliseconds. */
+  collections: CollectionStats;
 }
 
-export interface CollectionFigures {
+export interface CollectionStats {
   young: number;
   youngMs: number;
   whole: number;
   wholeMs: number;
 }
 
-const READ_LIMITS = { connectMs: 500, timeoutMs: 2_000 };
+const READ_TIMEOUTS = { connectMs: 500, timeoutMs: 2_000 };
 
-function endProcess(error: unknown): never {
+function throwError(error: unknown): never {
   throw error;
 }
 
-/** The members are known beforehand, so that they need no directory to found their group. */
+/** Writes an identity that lists all founding members, so that the group needs no directory to bootstrap. */
 async function writeIdentity({ member, founders, folder }: LedgerHostSettings): Promise<void> {
   await mkdir(folder, { recursive: true });
   const identity: Identity = { memberId: member.id, state: 'member', founders };
@@ -68,12 +68,12 @@
   const values = await ValueStore.open({
     folder: await openStoreFolder(join(folder, 'values')),
     logger: SILENT_LOGGER,
-    onFatal: endProcess,
+    onFatal: throwError,
   });
   const stateMachine = new LedgerStateMachine({
     values,
     readTurnsAt: (address, request) =>
-      host.peers.callWhenConnected(address, READ_TURNS, request, READ_LIMITS),
+      host.peers.callWhenConnected(address, READ_TURNS, request, READ_TIMEOUTS),
     logger: SILENT_LOGGER,
   });
   const host: GroupMemberProcess = await GroupMemberProcess.open({
@@ -95,7 +95,7 @@
     isRetiring: () => false,
     onLeadershipChange: () => undefined,
     logger: SILENT_LOGGER,
-    onFatal: endProcess,
+    onFatal: throwError,
   });
   const service = new LedgerService({
     peers: host.peers,
@@ -112,7 +112,7 @@
   return host;
 }
 
-function usageOf({ group }: GroupMemberProcess): LedgerHostUsage {
+function readUsage({ group }: GroupMemberProcess): LedgerHostUsage {
   const { user, system } = process.cpuUsage();
   return {
     leads: group?.isLeader ?? false,
@@ -123,7 +123,7 @@
   };
 }
 
-const collections: CollectionFigures = { young: 0, youngMs: 0, whole: 0, wholeMs: 0 };
+const collections: CollectionStats = { young: 0, youngMs: 0, whole: 0, wholeMs: 0 };
 new PerformanceObserver((list) => {
   for (const entry of list.getEntries()) {
     const { duration } = entry;
@@ -137,6 +137,6 @@
 const host = await startMember(JSON.parse(process.argv[2]!) as LedgerHostSettings);
 console.log('ready');
 for await (const line of createInterface({ input: process.stdin })) {
-  if (line === 'usage') console.log(JSON.stringify(usageOf(host)));
+  if (line === 'usage') console.log(JSON.stringify(readUsage(host)));
 }
 process.exit(0);
--- a/lab/ledger/main.ts
+++ b/lab/ledger/main.ts
@@ -1,11 +1,15 @@
 /**
- * Drives a replicated ledger of real processes on this machine at some rates, and prints what a turn takes
- * there: time, processor time and bytes of the leader and of a follower.
+ * Runs turns against a replicated ledger of local processes at given rates. Prints the latency of turns, processor
+ * time of leader and followers, replication traffic, log syncs and garbage collections.
  *
  *     node dist/lab/ledger/main.js TURNS_A_SECOND...
  *
- * In the environment: GW gateways (53), KEPT bytes of a kept turn (4300), WARM milliseconds before each measurement
- * (6000), HOST_FLAGS for the members' Node processes (none).
+ * Environment variables, with their defaults:
+ *
+ * - GW: number of gateways (53)
+ * - KEPT: bytes per kept turn (4300)
+ * - WARM: warm-up before each measurement in milliseconds (6000)
+ * - HOST_FLAGS: Node flags of the member processes (none)
  */
 import { mkdtemp, rm } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -17,37 +21,37 @@
 import { MethodRouter } from '../../src/wire/index.js';
 import { HostProcess } from '../host-process.js';
 import { SILENT_LOGGER } from '../silent-logger.js';
-import type { CollectionFigures, LedgerHostSettings, LedgerHostUsage } from './ledger-host.js';
+import type { CollectionStats, LedgerHostSettings, LedgerHostUsage } from './ledger-host.js';
 
 const HOST = fileURLToPath(new URL('ledger-host.js', import.meta.url));
 const FIRST_PORT = 17_540;
-const VOTERS = 5;
-const GATEWAYS = Number(process.env.GW ?? 53);
+const VOTER_COUNT = 5;
+const GATEWAY_COUNT = Number(process.env.GW ?? 53);
 const SECRET = 'measurement';
 const KEPT_BYTES = Number(process.env.KEPT ?? 4_300);
-/** One turn of so many is kept. */
-const KEPT_ONE_IN = 3;
+/** One in this many turns is kept. */
+const KEPT_TURN_INTERVAL = 3;
 const WARM_UP_MS = Number(process.env.WARM ?? 6_000);
-const MEASURED_MS = 6_000;
-const TURN_MS = 100;
+const MEASUREMENT_MS = 6_000;
+const TURN_DURATION_MS = 100;
 
-interface Times {
+interface TurnResults {
   reserve: number[];
   keep: number[];
   failed: number;
 }
 
-async function runTurn(client: LedgerClient, number: number, times: Times): Promise<void> {
+async function runTurn(client: LedgerClient, number: number, results: TurnResults): Promise<void> {
   const attempt = `turn-${number}`.padEnd(32, '0');
   const program = `program-${number % 1_000}`.padEnd(32, '0');
   const request = { program, attempt, budgetTokens: 1e9, mostTokens: 100, wantsHistory: false };
   const startedAt = monotonicMs();
   try {
     await client.reserve(request, 1_000, false);
-    times.reserve.push(monotonicMs() - startedAt);
-    await sleep(TURN_MS);
+    results.reserve.push(monotonicMs() - startedAt);
+    await sleep(TURN_DURATION_MS);
     const settlement = { program, attempt, spentTokens: 10 };
-    if (number % KEPT_ONE_IN !== 0) {
+    if (number % KEPT_TURN_INTERVAL !== 0) {
       client.settleLater(settlement);
       return;
     }
@@ -55,31 +59,36 @@
     const input = Buffer.alloc(KEPT_BYTES - 100, number);
     const keep = { input, output: Buffer.alloc(100, number), retentionMs: 60_000 };
     await client.settle({ ...settlement, keep }, 1_000);
-    times.keep.push(monotonicMs() - keptAt);
+    results.keep.push(monotonicMs() - keptAt);
   } catch {
-    times.failed += 1;
+    results.failed += 1;
   }
 }
 
-let turns = 0;
+let startedTurns = 0;
 
-async function load(clients: LedgerClient[], perSecond: number, forMs: number): Promise<Times> {
-  const times: Times = { reserve: [], keep: [], failed: 0 };
+async function runTurns(
+  clients: LedgerClient[],
+  perSecond: number,
+  durationMs: number,
+): Promise<TurnResults> {
+  const results: TurnResults = { reserve: [], keep: [], failed: 0 };
   const startedAt = monotonicMs();
-  const open: Promise<void>[] = [];
-  for (let sent = 0; monotonicMs() - startedAt < forMs; sent += 1) {
-    turns += 1;
-    open.push(runTurn(clients[turns % clients.length]!, turns, times));
+  const pending: Promise<void>[] = [];
+  for (let sent = 0; monotonicMs() - startedAt < durationMs; sent += 1) {
+    startedTurns += 1;
+    pending.push(runTurn(clients[startedTurns % clients.length]!, startedTurns, results));
     await sleep(startedAt + ((sent + 1) * 1_000) / perSecond - monotonicMs());
   }
-  await Promise.all(open);
-  return times;
+  await Promise.all(pending);
+  return results;
 }
 
-function describe(values: number[]): string {
+function formatPercentiles(values: number[]): string {
   const sorted = [...values].sort((left, right) => left - right);
-  const at = (share: number): string => (sorted[Math.floor(sorted.length * share)] ?? 0).toFixed(1);
-  return `${at(0.5)} / ${at(0.95)}`;
+  const percentile = (fraction: number): string =>
+    (sorted[Math.floor(sorted.length * fraction)] ?? 0).toFixed(1);
+  return `${percentile(0.5)} / ${percentile(0.95)}`;
 }
 
 async function measure(
@@ -87,32 +96,32 @@
   clients: LedgerClient[],
   perSecond: number,
 ): Promise<void> {
-  await load(clients, perSecond, WARM_UP_MS);
+  await runTurns(clients, perSecond, WARM_UP_MS);
   const before = await Promise.all(hosts.map((host) => host.request<LedgerHostUsage>('usage')));
-  const { reserve, keep, failed } = await load(clients, perSecond, MEASURED_MS);
+  const { reserve, keep, failed } = await runTurns(clients, perSecond, MEASUREMENT_MS);
   const after = await Promise.all(hosts.map((host) => host.request<LedgerHostUsage>('usage')));
-  const seconds = MEASURED_MS / 1_000;
-  const used = after.map(({ processorMs }, index) => processorMs - before[index]!.processorMs);
+  const seconds = MEASUREMENT_MS / 1_000;
+  const usedMs = after.map(({ processorMs }, index) => processorMs - before[index]!.processorMs);
   const leader = after.findIndex(({ leads }) => leads);
-  const followers = used.filter((_, index) => index !== leader);
-  const sent = after[leader]!.voterBytes - before[leader]!.voterBytes;
+  const followers = usedMs.filter((_, index) => index !== leader);
+  const sentBytes = after[leader]!.voterBytes - before[leader]!.voterBytes;
   const syncs = after[leader]!.logSyncs / seconds;
-  const collected = (kind: keyof CollectionFigures): string =>
+  const collectionRate = (kind: keyof CollectionStats): string =>
     ((after[leader]!.collections[kind] - before[leader]!.collections[kind]) / seconds).toFixed(1);
-  const perTurn = (used[leader]! / (perSecond * seconds)) * 1_000;
+  const microsecondsPerTurn = (usedMs[leader]! / (perSecond * seconds)) * 1_000;
   console.log(
-    `${perSecond} turns/s: reserve ${describe(reserve)} ms, keep ${describe(keep)} ms, failed ${failed}; ` +
-      `leader ${(used[leader]! / seconds).toFixed(0)} ms/s (${perTurn.toFixed(0)} us a turn), ` +
+    `${perSecond} turns/s: reserve ${formatPercentiles(reserve)} ms, keep ${formatPercentiles(keep)} ms, failed ${failed}; ` +
+      `leader ${(usedMs[leader]! / seconds).toFixed(0)} ms/s (${microsecondsPerTurn.toFixed(0)} us a turn), ` +
       `followers ${followers.map((ms) => (ms / seconds).toFixed(0)).join(' ')} ms/s, ` +
-      `to voters ${(sent / seconds / 1024).toFixed(0)} KiB/s, own syncs of entries ${syncs.toFixed(0)}/s, ` +
-      `young collections ${collected('young')}/s ${collected('youngMs')} ms/s, ` +
-      `others ${collected('whole')}/s ${collected('wholeMs')} ms/s`,
+      `to voters ${(sentBytes / seconds / 1024).toFixed(0)} KiB/s, own syncs of entries ${syncs.toFixed(0)}/s, ` +
+      `young collections ${collectionRate('young')}/s ${collectionRate('youngMs')} ms/s, ` +
+      `others ${collectionRate('whole')}/s ${collectionRate('wholeMs')} ms/s`,
   );
 }
 
 async function main(rates: number[]): Promise<void> {
   const folder = await mkdtemp(join(tmpdir(), 'ledgegauge-ledger-'));
-  const founders: Member[] = Array.from({ length: VOTERS }, (_, index) => ({
+  const founders: Member[] = Array.from({ length: VOTER_COUNT }, (_, index) => ({
     id: `m${index}-id`,
     name: `m${index}`,
     address: `127.0.0.1:${FIRST_PORT + index}`,
@@ -135,7 +144,7 @@
     ),
   );
   const addresses = founders.map(({ address }) => address);
-  const clients = Array.from({ length: GATEWAYS }, (_, index) => {
+  const clients = Array.from({ length: GATEWAY_COUNT }, (_, index) => {
     const peers = new PeerDirectory({
       ownName: `gateway-${index}`,
       secret: SECRET,
