--- a/lab/directory/control-host.ts
+++ b/lab/directory/control-host.ts
@@ -1,10 +1,10 @@
 /**
- * One control process for measuring the directory, with a small HTTP endpoint in place of a platform's adapter.
+ * Control process for measuring the directory, with an HTTP endpoint for heartbeats in place of a platform adapter.
  *
  *     node control-host.js SETTINGS
  *
- * SETTINGS is a JSON object as in `ControlHostSettings`. A line `usage` on standard input is answered with a line
- * of `ControlHostUsage`; the end of standard input ends the process.
+ * SETTINGS is a JSON object of type `ControlHostSettings`. For each line `usage` on standard input, the process writes
+ * a `ControlHostUsage` as one line of JSON. It exits at the end of standard input.
  */
 import { mkdir } from 'node:fs/promises';
 import { type IncomingMessage, type ServerResponse, createServer } from 'node:http';
@@ -17,7 +17,7 @@
 
 export interface ControlHostSettings {
   node: NodeSettings;
-  /** `host:port` that takes heartbeats: registrations in JSON. */
+  /** `host:port` of the endpoint for heartbeats, which are registrations in JSON. */
   registrationAddress: string;
 }
 
@@ -35,7 +35,7 @@
   return Buffer.concat(chunks).toString('utf8');
 }
 
-async function takeHeartbeat(
+async function handleHeartbeat(
   node: ControlNode,
   request: IncomingMessage,
   response: ServerResponse,
@@ -58,7 +58,7 @@
     },
   });
   const server = createServer({ noDelay: true }, (request, response) => {
-    void takeHeartbeat(control, request, response);
+    void handleHeartbeat(control, request, response);
   });
   await new Promise<void>((resolve) => {
     server.listen(portOf(registrationAddress), hostOf(registrationAddress), resolve);
--- a/lab/directory/main.ts
+++ b/lab/directory/main.ts
@@ -1,14 +1,14 @@
 /**
- * Measures what the directory costs its three control processes as the fleet grows: real control processes, real
- * watchers of many gateways in two processes, and back ends whose heartbeats come over HTTP.
+ * Measures the cost of the directory by fleet size: three real control processes, the directory watchers of many
+ * gateways in two processes, and simulated backends that send heartbeats over HTTP.
  *
  *     node dist/lab/directory/main.js GATEWAYS/BACKENDS...
  *
- * For example `24/300 80/1000 240/3000`. Prints a table in Markdown. In the environment:
+ * For example `24/300 80/1000 240/3000`. Prints a Markdown table. Environment variables, with their defaults:
  *
- * - STEADY: milliseconds of the steady state (10000)
- * - CALLS: calls under way at each gateway, at back ends drawn anew for each question (0)
- * - FLAGS: for the Node processes of control, for example `--cpu-prof --cpu-prof-dir=DIR` (none)
+ * - STEADY: duration of the steady phase in milliseconds (10000)
+ * - CALLS: running calls per gateway, at backends sampled anew for each load report (0)
+ * - FLAGS: Node flags of the control processes, for example `--cpu-prof --cpu-prof-dir=DIR` (none)
  */
 import { mkdtemp, rm } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -28,18 +28,18 @@
 
 const CONTROL_HOST = fileURLToPath(new URL('control-host.js', import.meta.url));
 const WATCHER_HOST = fileURLToPath(new URL('watcher-host.js', import.meta.url));
-const CONTROLS = 3;
-const WATCHER_HOSTS = 2;
+const CONTROL_COUNT = 3;
+const WATCHER_HOST_COUNT = 2;
 const SECRET = 'measurement';
 const HEARTBEAT_INTERVAL_MS = 1_200;
 const STEADY_MS = Number(process.env.STEADY ?? 10_000);
-const CALLS = Number(process.env.CALLS ?? 0);
+const CALLS_PER_GATEWAY = Number(process.env.CALLS ?? 0);
 const SETTLE_MS = 3_000;
-/** What takes longer isn't waited for, in milliseconds. */
-const PATIENCE_MS = 60_000;
-const RESTARTS = 20;
-const RESTART_PAUSE_MS = 250;
-const CONFIGURATION_CHANGES = 5;
+/** How long to wait until all watchers have received all backends. */
+const REGISTRATION_TIMEOUT_MS = 60_000;
+const RESTART_COUNT = 20;
+const CHANGE_INTERVAL_MS = 250;
+const CONFIGURATION_CHANGE_COUNT = 5;
 
 interface Size {
   gateways: number;
@@ -55,8 +55,8 @@
   peers: PeerDirectory;
 }
 
-/** What the control processes did in one phase. */
-interface PhaseFigures {
+/** Resource usage before and after one phase. */
+interface PhaseStats {
   seconds: number;
   before: ControlHostUsage[];
   after: ControlHostUsage[];
@@ -88,12 +88,17 @@
 
 function startWatchers(addresses: string[], gateways: number): Promise<HostProcess[]> {
   const names = Array.from({ length: gateways }, (_, number) => `gateway-${number}`);
-  const parts = Array.from({ length: WATCHER_HOSTS }, (_, host) =>
-    names.filter((_name, number) => number % WATCHER_HOSTS === host),
+  const namesByHost = Array.from({ length: WATCHER_HOST_COUNT }, (_, host) =>
+    names.filter((_name, number) => number % WATCHER_HOST_COUNT === host),
   );
   return Promise.all(
-    parts.map((part) => {
-      const settings = { addresses, secret: SECRET, names: part, callsUnderWay: CALLS };
+    namesByHost.map((hostNames) => {
+      const settings = {
+        addresses,
+        secret: SECRET,
+        names: hostNames,
+        callsUnderWay: CALLS_PER_GATEWAY,
+      };
       return HostProcess.start<WatcherHostSettings>(WATCHER_HOST, settings, []);
     }),
   );
@@ -101,8 +106,8 @@
 
 async function startFleet(size: Size, folder: string, ports: number[]): Promise<Fleet> {
   const addresses = ports.map((port) => `127.0.0.1:${port}`);
-  const internal = addresses.slice(0, CONTROLS);
-  const heartbeat = addresses.slice(CONTROLS);
+  const internal = addresses.slice(0, CONTROL_COUNT);
+  const heartbeat = addresses.slice(CONTROL_COUNT);
   const controls = await startControls(folder, internal, heartbeat);
   const peers = new PeerDirectory({
     ownName: 'operator',
@@ -111,7 +116,7 @@
     resolveAddress: (address) => address,
   });
   const directory = new DirectoryClient(new GroupClient({ peers, addresses: internal }));
-  await putUntilTaken(directory, 1);
+  await putConfigurationWithRetries(directory, 1);
   const watchers = await startWatchers(internal, size.gateways);
   const backends = new SimulatedBackends({
     count: size.backends,
@@ -121,18 +126,21 @@
   return { size, controls, watchers, backends, directory, peers };
 }
 
-async function putUntilTaken(directory: DirectoryClient, generation: number): Promise<void> {
+async function putConfigurationWithRetries(
+  directory: DirectoryClient,
+  generation: number,
+): Promise<void> {
   for (;;) {
     try {
       await directory.putConfiguration(sampleRoutes(generation), `${generation}`);
       return;
     } catch (error) {
-      console.error(`configuration ${generation} is sent again: ${String(error)}`);
+      console.error(`configuration ${generation} was not accepted, retrying: ${String(error)}`);
     }
   }
 }
 
-async function measurePhase(fleet: Fleet, work: () => Promise<unknown>): Promise<PhaseFigures> {
+async function measurePhase(fleet: Fleet, work: () => Promise<unknown>): Promise<PhaseStats> {
   const { controls, watchers, backends } = fleet;
   const readControls = (): Promise<ControlHostUsage[]> =>
     Promise.all(controls.map((control) => control.request<ControlHostUsage>('usage')));
@@ -149,41 +157,41 @@
   return { seconds, before, after, watchersBefore, watchersAfter, backends };
 }
 
-/** Resolves with the time until all watchers hold something, in milliseconds. */
-async function timeUntilHeld({ watchers }: Fleet, question: string): Promise<number> {
+/** Sends a command that completes when all watchers have a state; returns the duration in milliseconds. */
+async function timeUntilObserved({ watchers }: Fleet, command: string): Promise<number> {
   const startedAt = monotonicMs();
-  await Promise.all(watchers.map((watcher) => watcher.request<boolean>(question)));
+  await Promise.all(watchers.map((watcher) => watcher.request<boolean>(command)));
   return monotonicMs() - startedAt;
 }
 
-/** The worst time from order to its being in force at all watchers, in milliseconds. */
+/** Returns for each change the time until it is in effect at all watchers, in milliseconds. */
 async function changeConfigurations(fleet: Fleet): Promise<number[]> {
   const times: number[] = [];
-  for (let change = 0; change < CONFIGURATION_CHANGES; change += 1) {
+  for (let change = 0; change < CONFIGURATION_CHANGE_COUNT; change += 1) {
     const generation = 2 + change;
-    void putUntilTaken(fleet.directory, generation);
-    times.push(await timeUntilHeld(fleet, `configuration ${generation}`));
-    await sleep(RESTART_PAUSE_MS);
+    void putConfigurationWithRetries(fleet.directory, generation);
+    times.push(await timeUntilObserved(fleet, `configuration ${generation}`));
+    await sleep(CHANGE_INTERVAL_MS);
   }
   return times;
 }
 
 async function restartBackends({ backends }: Fleet): Promise<void> {
-  for (let number = 0; number < RESTARTS; number += 1) {
+  for (let number = 0; number < RESTART_COUNT; number += 1) {
     void backends.restart(number);
-    await sleep(RESTART_PAUSE_MS);
+    await sleep(CHANGE_INTERVAL_MS);
   }
 }
 
-/** Index of the process that leads; of the busiest where none leads at the end. */
-function leaderOf(before: ControlHostUsage[], after: ControlHostUsage[]): number {
+/** Index of the leader; without a leader at the end, index of the process that used the most processor time. */
+function findLeaderIndex(before: ControlHostUsage[], after: ControlHostUsage[]): number {
   const leader = after.findIndex(({ leads }) => leads);
   if (leader >= 0) return leader;
-  const used = after.map(({ processorMs }, index) => processorMs - before[index]!.processorMs);
-  return used.indexOf(Math.max(...used));
+  const usedMs = after.map(({ processorMs }, index) => processorMs - before[index]!.processorMs);
+  return usedMs.indexOf(Math.max(...usedMs));
 }
 
-function processorMsOf(usages: ProcessUsage[]): number {
+function totalProcessorMs(usages: ProcessUsage[]): number {
   return usages.reduce((sum, { processorMs }) => sum + processorMs, 0);
 }
 
@@ -191,25 +199,26 @@
   return Math.max(...usages.map(({ term }) => term));
 }
 
-function printPhase({ size }: Fleet, phase: string, figures: PhaseFigures, note: string): void {
-  const { seconds, before, after, watchersBefore, watchersAfter, backends } = figures;
-  const leader = leaderOf(before, after);
-  const share = (index: number): string =>
+function printPhase({ size }: Fleet, phase: string, stats: PhaseStats, note: string): void {
+  const { seconds, before, after, watchersBefore, watchersAfter, backends } = stats;
+  const leader = findLeaderIndex(before, after);
+  const processorPercent = (index: number): string =>
     ((after[index]!.processorMs - before[index]!.processorMs) / seconds / 10).toFixed(1);
   const followers = after.map((_, index) => index).filter((index) => index !== leader);
-  const written = after[leader]!.writtenBytes - before[leader]!.writtenBytes;
+  const writtenBytes = after[leader]!.writtenBytes - before[leader]!.writtenBytes;
   const { lateMs, worstLateMs } = after[leader]!;
   const watcherLateMs = Math.max(...watchersAfter.map((watcher) => watcher.worstLateMs));
-  const gatewayMs = (processorMsOf(watchersAfter) - processorMsOf(watchersBefore)) / size.gateways;
+  const gatewayMs =
+    (totalProcessorMs(watchersAfter) - totalProcessorMs(watchersBefore)) / size.gateways;
   const { acknowledged, failed } = backends.readAndResetCounts();
   const cells = [
     `${size.gateways}/${size.backends}`,
     phase,
     seconds.toFixed(1),
-    share(leader),
-    followers.map(share).join(' / '),
+    processorPercent(leader),
+    followers.map(processorPercent).join(' / '),
     (gatewayMs / seconds / 10).toFixed(2),
-    (written / seconds / 1_000).toFixed(0),
+    (writtenBytes / seconds / 1_000).toFixed(0),
     `${lateMs.toFixed(0)} / ${worstLateMs.toFixed(0)}`,
     watcherLateMs.toFixed(0),
     `${(acknowledged / seconds).toFixed(0)} / ${(failed / seconds).toFixed(0)}`,
@@ -222,19 +231,21 @@
 async function measure(size: Size): Promise<void> {
   const folder = await mkdtemp(join(tmpdir(), 'ledgegauge-directory-'));
   const allocator = new PortAllocator();
-  const fleet = await startFleet(size, folder, await allocator.allocate(2 * CONTROLS));
-  await timeUntilHeld(fleet, 'configuration 1');
+  const fleet = await startFleet(size, folder, await allocator.allocate(2 * CONTROL_COUNT));
+  await timeUntilObserved(fleet, 'configuration 1');
   await sleep(SETTLE_MS);
 
   let note = '';
   const registration = await measurePhase(fleet, async () => {
     fleet.backends.start();
-    const heldMs = await Promise.race([
-      timeUntilHeld(fleet, `backends ${size.backends}`),
-      sleep(PATIENCE_MS).then(() => undefined),
+    const registrationMs = await Promise.race([
+      timeUntilObserved(fleet, `backends ${size.backends}`),
+      sleep(REGISTRATION_TIMEOUT_MS).then(() => undefined),
     ]);
     note =
-      heldMs === undefined ? 'not all held' : `all held after ${(heldMs / 1_000).toFixed(1)} s`;
+      registrationMs === undefined
+        ? 'not all held'
+        : `all held after ${(registrationMs / 1_000).toFixed(1)} s`;
   });
   printPhase(fleet, 'registration', registration, note);
   if (note !== 'not all held') await measureAfterRegistration(fleet);
@@ -250,16 +261,16 @@
   await sleep(SETTLE_MS);
   printPhase(fleet, 'steady', await measurePhase(fleet, () => sleep(STEADY_MS)), '');
   const restarts = await measurePhase(fleet, () => restartBackends(fleet));
-  printPhase(fleet, 'restarts', restarts, `${RESTARTS} back ends start again`);
+  printPhase(fleet, 'restarts', restarts, `${RESTART_COUNT} back ends start again`);
   let times: number[] = [];
   const changes = await measurePhase(fleet, async () => {
     times = await changeConfigurations(fleet);
   });
-  const inForce = times.map((milliseconds) => milliseconds.toFixed(0)).join(', ');
-  printPhase(fleet, 'configurations', changes, `in force after ${inForce} ms`);
+  const delays = times.map((milliseconds) => milliseconds.toFixed(0)).join(', ');
+  printPhase(fleet, 'configurations', changes, `in force after ${delays} ms`);
 }
 
-function readSize(text: string): Size {
+function parseSize(text: string): Size {
   const [gateways, backends] = text.split('/').map(Number);
   return { gateways: gateways!, backends: backends! };
 }
@@ -268,5 +279,5 @@
   '| gateways/back ends | phase | s | leader % | followers % | a gateway % | leader kB/s | leader late ms | watchers late ms | heartbeats/s, failed | elections | |',
 );
 console.log('| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |');
-for (const size of process.argv.slice(2).map(readSize)) await measure(size);
+for (const size of process.argv.slice(2).map(parseSize)) await measure(size);
 process.exit(0);
--- a/lab/directory/process-usage.ts
+++ b/lab/directory/process-usage.ts
@@ -1,22 +1,22 @@
-/** What a measured process has used of the machine. */
+/** Resource usage of a measured process. */
 import { readFileSync } from 'node:fs';
 import { monitorEventLoopDelay } from 'node:perf_hooks';
 
 export interface ProcessUsage {
   /** Processor time so far, in milliseconds. */
   processorMs: number;
-  /** Bytes handed to the system so far: to connections, and to files. */
+  /** Bytes written to connections and files so far. */
   writtenBytes: number;
-  /** Lateness of the event loop since the question before: of 99 in 100 of its samples, and the worst, in milliseconds. */
+  /** 99th percentile and maximum of the event loop delay since the previous reading, in milliseconds. */
   lateMs: number;
   worstLateMs: number;
 }
 
-const RESOLUTION_MS = 10;
-const NANOSECONDS = 1e6;
+const SAMPLE_INTERVAL_MS = 10;
+const NANOSECONDS_PER_MS = 1e6;
 
 export class UsageMeter {
-  private readonly delay = monitorEventLoopDelay({ resolution: RESOLUTION_MS });
+  private readonly delay = monitorEventLoopDelay({ resolution: SAMPLE_INTERVAL_MS });
 
   constructor() {
     this.delay.enable();
@@ -25,7 +25,7 @@
   read(): ProcessUsage {
     const { user, system } = process.cpuUsage();
     const lateness = (nanoseconds: number): number =>
-      Math.max(0, nanoseconds / NANOSECONDS - RESOLUTION_MS);
+      Math.max(0, nanoseconds / NANOSECONDS_PER_MS - SAMPLE_INTERVAL_MS);
     const usage = {
       processorMs: (user + system) / 1_000,
       writtenBytes: writtenBytes(),
--- a/lab/directory/profile-purposes.ts
+++ b/lab/directory/profile-purposes.ts
@@ -1,5 +1,5 @@
 /**
- * Groups the self time of processor profiles by purpose.
+ * Groups the self time in CPU profiles by purpose.
  *
  *     node dist/lab/directory/profile-purposes.js FILE.cpuprofile...
  */
@@ -16,11 +16,11 @@
   children?: number[];
 }
 
-/** As V8 writes it. */
+/** CPU profile in the format of V8. */
 interface Profile {
   nodes: ProfileNode[];
   samples: number[];
-  /** Time since the sample before, in microseconds. */
+  /** Time since the previous sample, in microseconds. */
   timeDeltas: number[];
 }
 
@@ -30,7 +30,7 @@
   pattern: RegExp;
 }
 
-/** Code that others call for their purposes: its time counts for the nearest of the callers named below. */
+/** The first match counts. Time of code without a match counts for its nearest caller with a match. */
 const PURPOSES: readonly Purpose[] = [
   { name: 'garbage collection', pattern: /\(garbage collector\)/ },
   { name: 'idle', pattern: /\(idle\)/ },
@@ -62,19 +62,19 @@
   { name: 'timers and promises', pattern: /node:internal\/(timers|process)|signal-event|deferred/ },
 ];
 const OTHER = 'other';
-const MICROSECONDS = 1_000;
+const MICROSECONDS_PER_MS = 1_000;
 
 function purposeOf({ functionName, url }: CallFrame): string | undefined {
   const text = `${url} ${functionName}`;
   return PURPOSES.find(({ pattern }) => pattern.test(text))?.name;
 }
 
-/** By id of node; what has no purpose of its own has its caller's. */
+/** Purpose by node id; a node without a purpose of its own inherits its caller's. */
 function purposesOf(profile: Profile): Map<number, string> {
   const byId = new Map(profile.nodes.map((node) => [node.id, node]));
   const purposes = new Map<number, string>();
-  const visit = (node: ProfileNode, callers: string): void => {
-    const purpose = purposeOf(node.callFrame) ?? callers;
+  const visit = (node: ProfileNode, inheritedPurpose: string): void => {
+    const purpose = purposeOf(node.callFrame) ?? inheritedPurpose;
     purposes.set(node.id, purpose);
     for (const child of node.children ?? []) visit(byId.get(child)!, purpose);
   };
@@ -86,7 +86,7 @@
   const times = new Map<string, number>();
   profile.samples.forEach((id, sample) => {
     const name = nameOf(id);
-    times.set(name, (times.get(name) ?? 0) + profile.timeDeltas[sample]! / MICROSECONDS);
+    times.set(name, (times.get(name) ?? 0) + profile.timeDeltas[sample]! / MICROSECONDS_PER_MS);
   });
   return [...times].sort(([, left], [, right]) => right - left);
 }
@@ -99,7 +99,7 @@
   }
 }
 
-const MOST_FUNCTIONS = 25;
+const MAX_FUNCTIONS = 25;
 
 for (const file of process.argv.slice(2)) {
   const profile = JSON.parse(readFileSync(file, 'utf8')) as Profile;
@@ -113,5 +113,5 @@
   }).filter(isBusy);
   const total = byPurpose.reduce((sum, [, milliseconds]) => sum + milliseconds, 0);
   printTimes(`${file}: self time by purpose`, byPurpose, total);
-  printTimes('by function', byFunction.slice(0, MOST_FUNCTIONS), total);
+  printTimes('by function', byFunction.slice(0, MAX_FUNCTIONS), total);
 }
--- a/lab/directory/sample-routes.ts
+++ b/lab/directory/sample-routes.ts
@@ -1,14 +1,14 @@
-/** A configuration of the size that deployments of this kind have. */
+/** Sample configuration of realistic size. */
 import type { RouteConfiguration } from '../../src/routes/index.js';
 
-const ROUTES = 200;
-const TENANTS = 75;
+const ROUTE_COUNT = 200;
+const TENANT_COUNT = 75;
 const HASH_DIGITS = 64;
 
 export function sampleRoutes(generation: number): RouteConfiguration {
   return {
     generation,
-    routes: Array.from({ length: ROUTES }, (_, number) => ({
+    routes: Array.from({ length: ROUTE_COUNT }, (_, number) => ({
       name: `route-${number}`,
       host: `host-${number % 20}.example`,
       pathPrefix: `/prefix-${number}/`,
@@ -30,7 +30,7 @@
       headerTimeoutMs: 3_000,
       idleTimeoutMs: 15_000,
     },
-    tenants: Array.from({ length: TENANTS }, (_, number) => ({
+    tenants: Array.from({ length: TENANT_COUNT }, (_, number) => ({
       name: `tenant-${number}`,
       keyHashes: [number.toString(16).padStart(HASH_DIGITS, 'a')],
       ratePerSecond: 10,
--- a/lab/directory/simulated-backends.ts
+++ b/lab/directory/simulated-backends.ts
@@ -1,13 +1,13 @@
-/** Back ends that register and send heartbeats over HTTP, as a platform's do. */
+/** Simulated backends, which register and send heartbeats over HTTP. */
 import { Agent, request } from 'undici';
 import { sleep } from '../../src/common/index.js';
 import { type BackendRegistration, incarnationId } from '../../src/directory/index.js';
 
 export interface SimulatedBackendsOptions {
   count: number;
-  /** `host:port` of the control processes' endpoints for heartbeats. */
+  /** `host:port` of the heartbeat endpoints of the control processes. */
   addresses: string[];
-  /** Time between two heartbeats of a back end, in milliseconds. */
+  /** Heartbeat interval of each backend, in milliseconds. */
   intervalMs: number;
 }
 
@@ -16,23 +16,26 @@
   failed: number;
 }
 
-/** An acknowledgement that comes later doesn't count, in milliseconds. */
-const PATIENCE_MS = 1_000;
-const CONNECTIONS = 200;
+/** A heartbeat without an acknowledgement within this time counts as failed. */
+const ACKNOWLEDGEMENT_TIMEOUT_MS = 1_000;
+const MAX_CONNECTIONS = 200;
 const HTTP_OK = 200;
-const SLOTS = 12;
-const SERVICES = 2;
+const SLOTS_PER_BACKEND = 12;
+const SERVICE_COUNT = 2;
 
 export class SimulatedBackends {
-  private readonly agent = new Agent({ connections: CONNECTIONS, headersTimeout: PATIENCE_MS });
-  private readonly starts = new Map<number, number>();
+  private readonly agent = new Agent({
+    connections: MAX_CONNECTIONS,
+    headersTimeout: ACKNOWLEDGEMENT_TIMEOUT_MS,
+  });
+  private readonly incarnationNumbers = new Map<number, number>();
   private readonly stopping = new AbortController();
   private counts: HeartbeatCounts = { acknowledged: 0, failed: 0 };
   private sent = 0;
 
   constructor(private readonly options: SimulatedBackendsOptions) {}
 
-  /** All begin within one interval. */
+  /** Starts all backends, spread over one heartbeat interval. */
   start(): void {
     for (let number = 0; number < this.options.count; number += 1) void this.run(number);
   }
@@ -41,16 +44,16 @@
     this.stopping.abort();
   }
 
-  /** Counts since the call before. */
+  /** Returns the counts since the previous call. */
   readAndResetCounts(): HeartbeatCounts {
     const { counts } = this;
     this.counts = { acknowledged: 0, failed: 0 };
     return counts;
   }
 
-  /** A back end ends without a word and starts again under its name. */
+  /** Simulates a crash and restart: the backend registers a new incarnation under the same name. */
   restart(number: number): Promise<void> {
-    this.starts.set(number, (this.starts.get(number) ?? 1) + 1);
+    this.incarnationNumbers.set(number, (this.incarnationNumbers.get(number) ?? 1) + 1);
     return this.send(number);
   }
 
@@ -81,14 +84,17 @@
   }
 
   private registration(number: number): BackendRegistration {
-    const incarnation = { name: `runner-${number}`, startedAt: this.starts.get(number) ?? 1 };
+    const incarnation = {
+      name: `runner-${number}`,
+      startedAt: this.incarnationNumbers.get(number) ?? 1,
+    };
     return {
       ...incarnation,
       id: incarnationId(incarnation),
-      service: `service-${number % SERVICES}`,
+      service: `service-${number % SERVICE_COUNT}`,
       address: `10.128.${number >> 8}.${number % 256}:8080`,
       zone: `zone-${number % 3}`,
-      slots: SLOTS,
+      slots: SLOTS_PER_BACKEND,
       phase: 'ready',
       sequence: this.sent,
     };
--- a/lab/directory/watcher-host.ts
+++ b/lab/directory/watcher-host.ts
@@ -1,10 +1,11 @@
 /**
- * Follows the directory as many gateways do, in one process.
+ * Runs the directory watchers of many gateways in one process.
  *
  *     node watcher-host.js SETTINGS
  *
- * SETTINGS is a JSON object as in `WatcherHostSettings`. Lines on standard input: `usage` is answered with a line of
- * `ProcessUsage`, `configuration GENERATION` and `backends COUNT` with `true` once all watchers hold that.
+ * SETTINGS is a JSON object of type `WatcherHostSettings`. Commands are lines on standard input, results are lines of
+ * JSON: `usage` returns a `ProcessUsage`; `configuration GENERATION` and `backends COUNT` return `true` as soon as all
+ * watchers have that state.
  */
 import { createInterface } from 'node:readline';
 import { SignalEvent } from '../../src/common/index.js';
@@ -18,67 +19,67 @@
   /** Internal addresses of the control processes. */
   addresses: string[];
   secret: string;
-  /** Names of the gateways that are played. */
+  /** Names of the simulated gateways. */
   names: string[];
-  /** Calls under way at each gateway, at back ends drawn anew for each question. */
+  /** Running calls per gateway, at backends sampled anew for each load report. */
   callsUnderWay: number;
 }
 
-interface HeldParts {
+interface WatcherState {
   generation: number;
   backends: number;
   ids: string[];
 }
 
-const changed = new SignalEvent();
+const stateChanged = new SignalEvent();
 
-/** One call at each of some back ends. */
-function drawLoads(ids: readonly string[], calls: number): BackendLoad[] {
+/** Reports one running call at each of up to `calls` randomly sampled backends. */
+function sampleLoads(ids: readonly string[], calls: number): BackendLoad[] {
   if (ids.length === 0) return [];
-  const draw = (): string => ids[Math.floor(Math.random() * ids.length)]!;
-  const drawn = new Set(Array.from({ length: calls }, draw));
-  return [...drawn].map((id) => ({ id, inFlight: 1 }));
+  const sampleId = (): string => ids[Math.floor(Math.random() * ids.length)]!;
+  const sampledIds = new Set(Array.from({ length: calls }, sampleId));
+  return [...sampledIds].map((id) => ({ id, inFlight: 1 }));
 }
 
-function follow(
+function startWatcher(
   name: string,
   { addresses, secret, callsUnderWay }: WatcherHostSettings,
-): HeldParts {
+): WatcherState {
   const peers = new PeerDirectory({
     ownName: name,
     secret,
     router: new MethodRouter(),
     resolveAddress: (address) => address,
   });
-  const held: HeldParts = { generation: 0, backends: 0, ids: [] };
+  const state: WatcherState = { generation: 0, backends: 0, ids: [] };
   const watcher = new DirectoryWatcher({
     client: new DirectoryClient(new GroupClient({ peers, addresses })),
     announce: () => ({ name, role: 'gateway', address: `${name}:1`, zone: 'zone' }),
-    loads: () => drawLoads(held.ids, callsUnderWay),
+    loads: () => sampleLoads(state.ids, callsUnderWay),
     logger: SILENT_LOGGER,
-    // Gateways read them, so that their cost belongs to a gateway's.
+    // With a listener, load reports are decoded as in a gateway and count towards the measured cost.
     onOtherLoads: () => undefined,
     onConfiguration: ({ generation }) => {
-      held.generation = generation;
-      changed.notify();
+      state.generation = generation;
+      stateChanged.notify();
     },
     onBackends: (records) => {
-      held.backends = records.length;
-      if (callsUnderWay > 0) held.ids = records.map(({ id }) => id);
-      changed.notify();
+      state.backends = records.length;
+      if (callsUnderWay > 0) state.ids = records.map(({ id }) => id);
+      stateChanged.notify();
     },
   });
   watcher.start();
-  return held;
+  return state;
 }
 
-async function waitForAll(holds: (held: HeldParts) => boolean): Promise<boolean> {
-  while (!watchers.every(holds)) await changed.wait();
+async function waitForAll(predicate: (state: WatcherState) => boolean): Promise<boolean> {
+  while (!watchers.every(predicate)) await stateChanged.wait();
   return true;
 }
 
-async function answer(question: string): Promise<unknown> {
-  const [kind, number] = question.split(' ');
+async function handleCommand(command: string): Promise<unknown> {
+  const [kind, number] = command.split(' ');
   switch (kind) {
     case 'configuration':
       return waitForAll(({ generation }) => generation >= Number(number));
@@ -90,10 +91,10 @@
 }
 
 const settings = JSON.parse(process.argv[2]!) as WatcherHostSettings;
-const watchers = settings.names.map((name) => follow(name, settings));
+const watchers = settings.names.map((name) => startWatcher(name, settings));
 const meter = new UsageMeter();
 console.log('ready');
 for await (const line of createInterface({ input: process.stdin })) {
-  console.log(JSON.stringify(await answer(line)));
+  console.log(JSON.stringify(await handleCommand(line)));
 }
 process.exit(0);
