--- a/lab/torture/checker/call-checks.ts
+++ b/lab/torture/checker/call-checks.ts
@@ -1,68 +1,71 @@
-/** Checks of single calls: order, complete answers, history, isolation. */
+/** Invariants of single calls: order, complete answers, history, isolation. */
 import { groupBy } from '../../../src/common/index.js';
 import type { EngineArrival, ServiceExecution, TortureHistory } from '../history.js';
 import { type InvariantCheck, ResultBuilder } from './invariant.js';
 
-/** Work of one call seen at a back end. */
-interface SeenWork {
+/** Execution of a call that a backend recorded. */
+interface ObservedWork {
   program: string;
   sequence: number;
   atMs: number;
 }
 
-function workOfArrival({ program, sequence, wallClockMs }: EngineArrival): SeenWork {
+function workOfArrival({ program, sequence, wallClockMs }: EngineArrival): ObservedWork {
   return { program, sequence, atMs: wallClockMs };
 }
 
-function workOfService({ key, wallClockMs }: ServiceExecution): SeenWork {
+function workOfService({ key, wallClockMs }: ServiceExecution): ObservedWork {
   const [program, sequence] = key.split('/');
   return { program: program!, sequence: Number(sequence), atMs: wallClockMs };
 }
 
-export function observedWork(history: TortureHistory): SeenWork[] {
+export function observedWork(history: TortureHistory): ObservedWork[] {
   return [...history.arrivals.map(workOfArrival), ...history.serviceExecutions.map(workOfService)];
 }
 
-/** Names a call among all of a history. */
-export function callKey({ program, sequence }: Pick<SeenWork, 'program' | 'sequence'>): string {
+/** Identifies a call within a history. */
+export function callKey({ program, sequence }: Pick<ObservedWork, 'program' | 'sequence'>): string {
   return `${program}#${sequence}`;
 }
 
-/** When each call was first finished at a back end. */
-function finishTimes(history: TortureHistory): Map<string, number> {
+/** Returns when each call was first finished by a backend. */
+function firstFinishTimes(history: TortureHistory): Map<string, number> {
   const times = new Map<string, number>();
-  const note = (call: string, atMs: number): void => {
+  const recordEarliest = (call: string, atMs: number): void => {
     times.set(call, Math.min(times.get(call) ?? Number.POSITIVE_INFINITY, atMs));
   };
   for (const { program, sequence, outcome, wallClockMs } of history.executions) {
-    if (outcome === 'finished') note(callKey({ program, sequence }), wallClockMs);
+    if (outcome === 'finished') recordEarliest(callKey({ program, sequence }), wallClockMs);
   }
   for (const work of history.serviceExecutions.map(workOfService)) {
-    note(callKey(work), work.atMs);
+    recordEarliest(callKey(work), work.atMs);
   }
   return times;
 }
 
-/** A call first reaches a back end only after the call before it had its answer. */
+/** A call reaches a backend only after the previous call of its program was answered. */
 export const orderCheck: InvariantCheck = {
   promise: 'order',
   check(history) {
     const result = new ResultBuilder('order');
     for (const [program, works] of groupBy(observedWork(history), (work) => work.program)) {
-      const first = new Map<number, number>();
+      const firstSeenAt = new Map<number, number>();
       for (const { sequence, atMs } of works) {
-        first.set(sequence, Math.min(first.get(sequence) ?? Number.POSITIVE_INFINITY, atMs));
+        firstSeenAt.set(
+          sequence,
+          Math.min(firstSeenAt.get(sequence) ?? Number.POSITIVE_INFINITY, atMs),
+        );
       }
-      const sequences = [...first.keys()].sort((left, right) => left - right);
+      const sequences = [...firstSeenAt.keys()].sort((left, right) => left - right);
       for (const [index, sequence] of sequences.slice(1).entries()) {
         const before = sequences[index]!;
         result.expect(
-          first.get(sequence)! >= first.get(before)!,
-          () => `${program}: call ${sequence} began before call ${before}`,
+          firstSeenAt.get(sequence)! >= firstSeenAt.get(before)!,
+          () => `${program}: call ${sequence} started before call ${before}`,
         );
       }
     }
-    const finished = finishTimes(history);
+    const finished = firstFinishTimes(history);
     for (const { program, sequence, atMs } of observedWork(history)) {
       const before = finished.get(callKey({ program, sequence: sequence - 1 }));
       if (before === undefined) continue;
@@ -75,28 +78,29 @@
   },
 };
 
-/** Every call that was issued ended with an answer that is right, or with a clear outcome. */
+/** Every call ends with a correct answer or a definite outcome. */
 export const completeAnswerCheck: InvariantCheck = {
   promise: 'complete-answer',
   check(history) {
     const result = new ResultBuilder('complete-answer');
     for (const call of history.calls) {
       const name = callKey(call);
-      result.expect(call.outcome !== 'pending', () => `${name}: never had a final answer`);
+      result.expect(call.outcome !== 'pending', () => `${name}: received no final answer`);
       if (call.outcome !== 'completed') continue;
-      result.expect(call.isCorrect, () => `${name}: the answer is not the one to its request`);
+      result.expect(call.isCorrect, () => `${name}: the answer does not match the request`);
     }
     for (const { program, sequence, answers } of history.copiedCalls) {
       result.expect(
         new Set(answers).size <= 1,
-        () => `${program}#${sequence}: copies were answered differently: ${answers.join(' / ')}`,
+        () =>
+          `${program}#${sequence}: duplicates received different answers: ${answers.join(' / ')}`,
       );
     }
     return result.build();
   },
 };
 
-/** What was answered once is answered the same ever after. */
+/** A recorded answer does not change. */
 export const historyCheck: InvariantCheck = {
   promise: 'history',
   check(history) {
@@ -104,14 +108,14 @@
     for (const { program, sequence, firstAnswer, laterAnswer } of history.repeatedReads) {
       result.expect(
         firstAnswer === laterAnswer,
-        () => `${program}#${sequence}: the recorded answer changed or is gone`,
+        () => `${program}#${sequence}: the recorded answer changed or was lost`,
       );
     }
     return result.build();
   },
 };
 
-/** Another tenant learns nothing, not even whether a program exists; engines keep tenants apart. */
+/** Tenants cannot detect programs of others, and programs reach engines as their own tenant. */
 export const isolationCheck: InvariantCheck = {
   promise: 'isolation',
   check(history) {
@@ -119,7 +123,7 @@
     for (const { program, answer, answerForNoProgram } of history.foreignReads) {
       result.expect(
         answer === answerForNoProgram,
-        () => `${program}: another tenant was answered ${answer}, not ${answerForNoProgram}`,
+        () => `${program}: another tenant received ${answer}, expected ${answerForNoProgram}`,
       );
     }
     const owners = new Map(history.programs.map((program) => [program.id, program.tenant]));
@@ -128,7 +132,7 @@
       if (owner === undefined) continue;
       result.expect(
         owner === tenant,
-        () => `${program} of ${owner} reached an engine as a program of ${tenant}`,
+        () => `${program} of tenant ${owner} reached an engine as tenant ${tenant}`,
       );
     }
     return result.build();
--- a/lab/torture/checker/checker.test.ts
+++ b/lab/torture/checker/checker.test.ts
@@ -1,4 +1,4 @@
-/** For each promise: a good history that passes, and bad ones that must be rejected. */
+/** Each invariant accepts a valid history and rejects histories that violate it. */
 import { describe, expect, it } from 'vitest';
 import type { ObservedCall, ObservedProgram } from '../../workload/recorder.js';
 import { type TortureHistory, emptyHistory } from '../history.js';
@@ -53,8 +53,8 @@
   return { ...arrival(sequence, wallClockMs), outputTokens: 10, outcome: 'finished' };
 }
 
-/** Two model calls and a payment, all in order. */
-function goodHistory(): TortureHistory {
+/** Two model calls and a service call, in order. */
+function validHistory(): TortureHistory {
   return {
     ...emptyHistory(1),
     programs: [program()],
@@ -131,30 +131,34 @@
   };
 }
 
-function brokenPromises(change: (history: TortureHistory) => void): InvariantName[] {
-  const history = goodHistory();
+function violatedInvariants(change: (history: TortureHistory) => void): InvariantName[] {
+  const history = validHistory();
   change(history);
   const { violations } = checkHistory(history);
   return [...new Set(violations.map((violation) => violation.promise))];
 }
 
 describe('checker', () => {
-  it('accepts a good history and tests every promise in it', () => {
-    const { tested, violations } = checkHistory(goodHistory());
+  it('accepts a valid history and tests every invariant', () => {
+    const { tested, violations } = checkHistory(validHistory());
     expect(violations).toEqual([]);
     expect(Object.entries(tested).filter(([, times]) => times === 0)).toEqual([]);
   });
 
   it.each<[string, InvariantName, (history: TortureHistory) => void]>([
-    ['a call that ran before the one before it', 'order', (h) => (h.arrivals[1]!.wallClockMs = 50)],
     [
-      'a call that ran before the one before it had finished',
+      'a call that started before its predecessor',
+      'order',
+      (h) => (h.arrivals[1]!.wallClockMs = 50),
+    ],
+    [
+      'a call that started before its predecessor finished',
       'order',
       (h) => (h.arrivals[1]!.wallClockMs = 130),
     ],
     ['a recorded answer that changed', 'history', (h) => (h.repeatedReads[0]!.laterAnswer = '')],
     [
-      'a foreign program that is told apart from none',
+      "a response that reveals another tenant's program",
       'isolation',
       (h) => (h.foreignReads[0]!.answer = 'forbidden'),
     ],
@@ -163,14 +167,14 @@
       'isolation',
       (h) => (h.arrivals[0]!.tenant = 'finance'),
     ],
-    ['more spent than the budget', 'budget', (h) => (h.executions[0]!.outputTokens = 990)],
+    ['spending above the budget', 'budget', (h) => (h.executions[0]!.outputTokens = 990)],
     [
-      'a sub-agent that spent the budget of its parent twice',
+      'a sub-agent that exceeds the budget of its parent',
       'budget',
       (h) =>
         h.executions.push({ ...execution(1, 300), program: `${PROGRAM}.c1`, outputTokens: 950 }),
     ],
-    ['spending that is not counted', 'budget', (h) => (h.spending[0]!.spent = 10)],
+    ['spending that is not accounted for', 'budget', (h) => (h.spending[0]!.spent = 10)],
     [
       'memory held for an ended program',
       'engine-memory',
@@ -179,22 +183,22 @@
     ['a wrong answer', 'complete-answer', (h) => (h.calls[0]!.isCorrect = false)],
     ['a call that never ended', 'complete-answer', (h) => (h.calls[1]!.outcome = 'pending')],
     [
-      'copies that were answered differently',
+      'duplicates with different answers',
       'complete-answer',
       (h) => (h.copiedCalls[0]!.answers = ['done', 'other']),
     ],
     [
-      'a refused request that ran',
+      'a rejected request that was executed',
       'not-run',
       (h) => h.serviceExecutions.push({ key: 'p3/2/1', payload: 'early', wallClockMs: 9 }),
     ],
     [
-      'a call told as not run that an engine saw',
+      'a call reported as not run that reached an engine',
       'not-run',
       (h) => (h.exchanges[1] = { ...h.exchanges[1]!, kind: 'not_run' }),
     ],
     [
-      'a refused submission that ran before the next one was sent',
+      'a rejected submission that was executed before the next one was sent',
       'not-run',
       (h) => {
         h.exchanges[1] = { ...h.exchanges[1]!, kind: 'not_run' };
@@ -202,20 +206,28 @@
       },
     ],
     [
-      'a payment made twice',
+      'a non-repeatable call executed twice',
       'at-most-once',
       (h) => h.serviceExecutions.push({ ...h.serviceExecutions[0]!, key: `${PROGRAM}/3/2` }),
     ],
     [
-      'work for an engine that left',
+      'a new request to a drained engine',
       'leaving',
       (h) => h.arrivals.push({ ...arrival(1, 4_500), program: 'p9' }),
     ],
-    ['a planned stop with an error', 'planned-stop', (h) => (h.plannedStops[0]!.exitCode = 1)],
-    ['a planned stop that cut a request', 'planned-stop', (h) => (h.exchanges[0]!.kind = 'broken')],
-    ['an accepted revision that is gone', 'configuration', (h) => (h.finalRevisions = [])],
     [
-      'two contents accepted upon one revision',
+      'a planned stop with a nonzero exit code',
+      'planned-stop',
+      (h) => (h.plannedStops[0]!.exitCode = 1),
+    ],
+    [
+      'a planned stop that interrupted a request',
+      'planned-stop',
+      (h) => (h.exchanges[0]!.kind = 'broken'),
+    ],
+    ['an accepted revision that was lost', 'configuration', (h) => (h.finalRevisions = [])],
+    [
+      'different contents accepted for one base revision',
       'configuration',
       (h) => {
         h.confirms[1] = { ...h.confirms[1]!, outcome: 'accepted', revision: 3 };
@@ -223,21 +235,21 @@
       },
     ],
     [
-      'a resend that was answered differently',
+      'a retry with a different response',
       'configuration',
       (h) => h.confirms.push({ ...h.confirms[0]!, outcome: 'refused', revision: undefined }),
     ],
     [
-      'a gateway that went back',
+      'a gateway that reverted to an earlier revision',
       'configuration',
       (h) => h.sightings.push({ gateway: 'gateway-1', revision: 1, atMs: 1_300 }),
     ],
     [
-      'a revision that did not come into force',
+      'a revision that did not take effect',
       'configuration',
       (h) => (h.inForce[0]!.afterMs = undefined),
     ],
   ])('rejects %s', (_, promise, change) => {
-    expect(brokenPromises(change)).toContain(promise);
+    expect(violatedInvariants(change)).toContain(promise);
   });
 });
--- a/lab/torture/checker/index.ts
+++ b/lab/torture/checker/index.ts
@@ -1,4 +1,4 @@
-/** Decides whether a history keeps every promise. Knows nothing of how the system works. */
+/** Checks the invariants of a history, independently of the implementation of the system. */
 import type { TortureHistory } from '../history.js';
 import { completeAnswerCheck, historyCheck, isolationCheck, orderCheck } from './call-checks.js';
 import {
@@ -27,7 +27,7 @@
 ];
 
 export interface CheckResult {
-  /** How often each promise was put to the test. */
+  /** Number of tests of each invariant. */
   tested: Record<InvariantName, number>;
   violations: Violation[];
 }
--- a/lab/torture/checker/invariant.ts
+++ b/lab/torture/checker/invariant.ts
@@ -1,4 +1,4 @@
-/** What a check finds. */
+/** The interface of invariant checks and their results. */
 import type { TortureHistory } from '../history.js';
 
 export type InvariantName =
@@ -19,7 +19,7 @@
   detail: string;
 }
 
-/** The result of checking one promise: how often it was really put to the test, and the failures. */
+/** The result of checking an invariant: the number of tests and the violations. */
 export interface InvariantResult {
   promise: InvariantName;
   tested: number;
@@ -31,14 +31,14 @@
   check(history: TortureHistory): InvariantResult;
 }
 
-/** Collects a check's results. */
+/** Collects the results of an invariant check. */
 export class ResultBuilder {
   private tested = 0;
   private readonly violations: Violation[] = [];
 
   constructor(private readonly promise: InvariantName) {}
 
-  /** One test of the promise; `detail` describes the violation if `holds` is false. */
+  /** Tests the invariant once; `detail` describes the violation if `holds` is false. */
   expect(holds: boolean, detail: () => string): void {
     this.tested += 1;
     if (!holds) this.violations.push({ promise: this.promise, detail: detail() });
--- a/lab/torture/engine-memory.ts
+++ b/lab/torture/engine-memory.ts
@@ -1,38 +1,38 @@
-/** Looks at what engines hold and run for programs whose end the callers had confirmed. */
+/** Checks that engines release the memory of programs whose end was confirmed. */
 import { request } from 'undici';
 import { sleep } from '../../src/common/index.js';
 import type { FleetProcess } from '../fleet/fleet-process.js';
 import type { Fleet } from '../fleet/fleet.js';
 import type { MemoryObservation } from './history.js';
 
-/** Time after an engine's return in which it must hold nothing for ended programs. */
-const LIMIT_MS = 10_000;
-const POLL_MS = 200;
+/** Time within which an engine must have released the memory of ended programs. */
+const RELEASE_TIMEOUT_MS = 10_000;
+const POLL_INTERVAL_MS = 200;
 
 interface EnginePrograms {
   held: string[];
   active: string[];
 }
 
-/** One observation an engine, made as soon as it holds nothing, or at the limit. */
+/** Polls each engine until it holds nothing for ended programs, or until the timeout. */
 export function observeEngineMemory(
   fleet: Fleet,
-  ended: ReadonlySet<string>,
+  endedPrograms: ReadonlySet<string>,
 ): Promise<MemoryObservation[]> {
-  return Promise.all(fleet.ofKind('engine').map((engine) => observeEngine(engine, ended)));
+  return Promise.all(fleet.ofKind('engine').map((engine) => observeEngine(engine, endedPrograms)));
 }
 
 async function observeEngine(
   engine: FleetProcess,
-  ended: ReadonlySet<string>,
+  endedPrograms: ReadonlySet<string>,
 ): Promise<MemoryObservation> {
-  const deadline = Date.now() + LIMIT_MS;
+  const deadline = Date.now() + RELEASE_TIMEOUT_MS;
   let remaining: string[];
   do {
     const response = await request(`http://${engine.plan.address}/v1/programs`);
     const { held, active } = (await response.body.json()) as EnginePrograms;
-    remaining = [...held, ...active].filter((program) => ended.has(program));
-    if (remaining.length > 0) await sleep(POLL_MS);
+    remaining = [...held, ...active].filter((program) => endedPrograms.has(program));
+    if (remaining.length > 0) await sleep(POLL_INTERVAL_MS);
   } while (remaining.length > 0 && Date.now() < deadline);
-  return { engine: engine.name, endedPrograms: ended.size, remaining };
+  return { engine: engine.name, endedPrograms: endedPrograms.size, remaining };
 }
--- a/lab/torture/fault.ts
+++ b/lab/torture/fault.ts
@@ -1,4 +1,4 @@
-/** What a fault is, and what it may use. */
+/** The interface of injected faults. */
 import type { SeededRandom } from '../../src/common/index.js';
 import type { Fleet } from '../fleet/fleet.js';
 import type { HistoryRecorder } from './history-recorder.js';
@@ -6,22 +6,22 @@
 
 export interface FaultContext {
   fleet: Fleet;
-  /** Of this fault alone, so that faults at the same time do not disturb each other's choices. */
+  /** Used by this fault only, so that concurrent faults do not affect each other's draws. */
   random: SeededRandom;
   recorder: HistoryRecorder;
-  /** Keeps two faults from ending and starting the same process at once. */
+  /** Prevents two faults from stopping and starting the same process concurrently. */
   locks: ProcessLocks;
 }
 
 /**
- * How much a fault takes away. `disk`: a member's data; two of them never overlap, because the
- * system promises to survive only one at a time.
+ * What a fault affects. Faults of the family `disk` destroy the data of a member and never overlap:
+ * the system tolerates the loss of one disk at a time.
  */
 export type FaultFamily = 'process' | 'network' | 'disk' | 'backend';
 
 export interface Fault {
   name: string;
   family: FaultFamily;
-  /** Causes the failure, keeps it up for its time and mends it. */
+  /** Injects the fault, waits for its duration and reverts it. */
   run(context: FaultContext): Promise<void>;
 }
--- a/lab/torture/faults/backend-faults.ts
+++ b/lab/torture/faults/backend-faults.ts
@@ -1,25 +1,25 @@
-/** Back ends that answer badly or not at all. */
+/** Faults of backends: invalid, incomplete or missing responses. */
 import { request } from 'undici';
 import { sleep } from '../../../src/common/index.js';
 import type { FleetProcess } from '../../fleet/fleet-process.js';
 import type { Fault, FaultContext } from '../fault.js';
 import { pickProcess } from './process-faults.js';
 
-const AWAY_MS = [1_000, 2_500] as const;
-const MAX_AFFECTED_ANSWERS = 6;
+const FAULT_DURATION_MS = [1_000, 2_500] as const;
+const MAX_AFFECTED_RESPONSES = 6;
 
-async function misbehave(
+async function injectBackendFault(
   backend: FleetProcess,
   mode: string,
   { random }: FaultContext,
 ): Promise<void> {
-  await setMode(backend, mode, random.integer(1, MAX_AFFECTED_ANSWERS));
-  await sleep(random.integer(...AWAY_MS));
-  await setMode(backend, 'none', 0);
+  await setFaultMode(backend, mode, random.integer(1, MAX_AFFECTED_RESPONSES));
+  await sleep(random.integer(...FAULT_DURATION_MS));
+  await setFaultMode(backend, 'none', 0);
 }
 
-/** @param count how many answers are affected */
-async function setMode(backend: FleetProcess, mode: string, count: number): Promise<void> {
+/** @param count number of responses that are affected */
+async function setFaultMode(backend: FleetProcess, mode: string, count: number): Promise<void> {
   const response = await request(`http://${backend.plan.address}/v1/faults`, {
     method: 'POST',
     headers: { 'content-type': 'application/json' },
@@ -28,23 +28,23 @@
   await response.body.dump();
 }
 
-function misbehaviour(name: string, kind: 'engine' | 'service', mode: string): Fault {
+function backendFault(name: string, kind: 'engine' | 'service', mode: string): Fault {
   return {
     name,
     family: 'backend',
     async run(context) {
       const backend = pickProcess(context, kind);
-      // Another fault may have ended the process; then there is nobody to misbehave.
-      await misbehave(backend, mode, context).catch(() => undefined);
+      // Fails if another fault has stopped the process.
+      await injectBackendFault(backend, mode, context).catch(() => undefined);
     },
   };
 }
 
 export const BACKEND_FAULTS: readonly Fault[] = [
-  misbehaviour('engine-rubbish', 'engine', 'rubbish'),
-  misbehaviour('engine-half-event', 'engine', 'half-event'),
-  misbehaviour('engine-nothing', 'engine', 'nothing'),
-  misbehaviour('engine-stream-cut', 'engine', 'cut'),
-  misbehaviour('service-hang', 'service', 'hang'),
-  misbehaviour('service-error', 'service', 'error'),
+  backendFault('engine-rubbish', 'engine', 'rubbish'),
+  backendFault('engine-half-event', 'engine', 'half-event'),
+  backendFault('engine-nothing', 'engine', 'nothing'),
+  backendFault('engine-stream-cut', 'engine', 'cut'),
+  backendFault('service-hang', 'service', 'hang'),
+  backendFault('service-error', 'service', 'error'),
 ];
--- a/lab/torture/faults/disk-faults.ts
+++ b/lab/torture/faults/disk-faults.ts
@@ -1,4 +1,4 @@
-/** Disks that are lost, torn or damaged. */
+/** Faults of disks: lost data, torn writes and corrupted logs. */
 import {
   appendFileSync,
   openSync,
@@ -17,7 +17,7 @@
 import type { Fault, FaultContext } from '../fault.js';
 import { pickProcess } from './process-faults.js';
 
-const REPAIR_PATIENCE_MS = 20_000;
+const REPLICATION_TIMEOUT_MS = 20_000;
 const TORN_BYTES = 37;
 
 function loseDisk(context: FaultContext, control: FleetProcess): Promise<void> {
@@ -30,8 +30,8 @@
   run: (context) => loseDisk(context, pickProcess(context, 'control')),
 };
 
-/** The second member loses its disk right after the first one's repair. */
-const disksLostInTurn: Fault = {
+/** A second member loses its disk as soon as the first one is fully replicated again. */
+const disksLostInSequence: Fault = {
   name: 'disks-lost-in-turn',
   family: 'disk',
   async run(context) {
@@ -40,7 +40,7 @@
     const first = random.pick(controls);
     const second = random.pick(controls.filter((control) => control !== first));
     await loseDisk(context, first);
-    await waitUntilFullyReplicated(fleet, REPAIR_PATIENCE_MS);
+    await waitUntilFullyReplicated(fleet, REPLICATION_TIMEOUT_MS);
     await loseDisk(context, second);
   },
 };
@@ -50,11 +50,11 @@
   family: 'process',
   run(context) {
     const control = pickProcess(context, 'control');
-    return context.locks.runExclusive(control.name, () => tearLastWrite(context, control));
+    return context.locks.runExclusive(control.name, () => appendTornWrite(context, control));
   },
 };
 
-async function tearLastWrite(context: FaultContext, control: FleetProcess): Promise<void> {
+async function appendTornWrite(context: FaultContext, control: FleetProcess): Promise<void> {
   await control.kill();
   const segment = lastSegment(control);
   const garbage = Array.from({ length: TORN_BYTES }, () => context.random.integer(0, 255));
@@ -62,7 +62,7 @@
   await control.start();
 }
 
-/** A damaged middle: the member must refuse to start; with an empty folder it joins anew. */
+/** Corruption in the middle of a log: the member must not start until its data folder is emptied. */
 const flippedByte: Fault = {
   name: 'flipped-byte',
   family: 'disk',
@@ -80,9 +80,9 @@
     await control.start();
     return;
   }
-  const exitCode = await startExpectingRefusal(control);
+  const exitCode = await startExpectingFailure(control);
   if (exitCode !== EXIT_STORAGE) {
-    const detail = `${control.name}: started upon a damaged log (exit ${exitCode ?? 'none'})`;
+    const detail = `${control.name}: started with a corrupted log (exit code ${exitCode ?? 'none'})`;
     recorder.history.directViolations.push({ promise: 'history', detail });
     await control.kill();
   }
@@ -90,7 +90,7 @@
   await control.start();
 }
 
-async function startExpectingRefusal(control: FleetProcess): Promise<number | null | undefined> {
+async function startExpectingFailure(control: FleetProcess): Promise<number | null | undefined> {
   try {
     await control.start();
     return undefined;
@@ -107,7 +107,7 @@
   return last === undefined ? undefined : join(folder, last);
 }
 
-/** Flips a byte in the first half of a file; false when the file is too short for a middle. */
+/** Inverts a byte in the first half of a file; returns false if the file is too short. */
 export function flipByte(file: string, position: number): boolean {
   const { size } = statSync(file);
   const minimumBytes = 4_096;
@@ -122,4 +122,9 @@
   return true;
 }
 
-export const DISK_FAULTS: readonly Fault[] = [diskLost, disksLostInTurn, tornWrite, flippedByte];
+export const DISK_FAULTS: readonly Fault[] = [
+  diskLost,
+  disksLostInSequence,
+  tornWrite,
+  flippedByte,
+];
--- a/lab/torture/faults/index.ts
+++ b/lab/torture/faults/index.ts
@@ -1,4 +1,4 @@
-/** All faults by name. */
+/** Registry of all faults. */
 import { LedgegaugeError } from '../../../src/common/index.js';
 import type { Fault } from '../fault.js';
 import { BACKEND_FAULTS } from './backend-faults.js';
@@ -15,13 +15,15 @@
   ...BACKEND_FAULTS,
 ];
 
-/** @param names `all`, or names separated by commas @throws LedgegaugeError for an unknown one */
+/** @param names `all` or comma-separated names @throws LedgegaugeError for an unknown name */
 export function selectFaults(names: string): Fault[] {
   if (names === 'all') return [...ALL_FAULTS];
   return names.split(',').map((name) => {
     const fault = ALL_FAULTS.find((candidate) => candidate.name === name);
     if (fault) return fault;
     const known = ALL_FAULTS.map((candidate) => candidate.name).join(', ');
-    throw new LedgegaugeError(`no fault ${name}; there are: ${known}`, { step: 'cli.usage' });
+    throw new LedgegaugeError(`unknown fault ${name}; expected one of: ${known}`, {
+      step: 'cli.usage',
+    });
   });
 }
--- a/lab/torture/faults/network-faults.ts
+++ b/lab/torture/faults/network-faults.ts
@@ -1,26 +1,26 @@
-/** Links that are cut, silent, slow or torn. */
+/** Faults of links: partitions, packet loss, delays, low bandwidth and resets. */
 import { sleep } from '../../../src/common/index.js';
 import type { LinkFault } from '../../../emulator/fault-proxy/fault-proxy-settings.js';
 import type { Fault, FaultContext } from '../fault.js';
 import { pickJournalLeader, pickProcess } from './process-faults.js';
 
-type FaultPart = Parameters<FaultContext['fleet']['setFault']>[1];
+type LinkFaultSettings = Parameters<FaultContext['fleet']['setFault']>[1];
 
 const DURATION_MS = [1_000, 3_000] as const;
 /** Longer than the configuration lease. */
 const LONG_DURATION_MS = [2_500, 3_500] as const;
 const NO_DIRECTION_FAULT = { drop: false, delayMs: 0, jitterMs: 0, bytesPerSecond: 0 };
 const DROP = { ...NO_DIRECTION_FAULT, drop: true };
-const SILENT_BOTH_WAYS: Partial<LinkFault> = { toTarget: DROP, toClient: DROP };
-const SILENT_TO_TARGET: Partial<LinkFault> = { toTarget: DROP };
+const DROP_BOTH_WAYS: Partial<LinkFault> = { toTarget: DROP, toClient: DROP };
+const DROP_TO_TARGET: Partial<LinkFault> = { toTarget: DROP };
 const MAX_JITTER_MS = 60;
 const RESET_AFTER_BYTES = 2_000;
-const DRIP_BYTES_PER_SECOND = 20_000;
+const SLOW_LINK_BYTES_PER_SECOND = 20_000;
 
-async function disturb(
+async function injectLinkFault(
   context: FaultContext,
   links: string[],
-  fault: FaultPart,
+  fault: LinkFaultSettings,
   duration: readonly [number, number] = DURATION_MS,
 ): Promise<void> {
   await context.fleet.setFault(links, fault);
@@ -28,15 +28,15 @@
   await context.fleet.setFault(links, {});
 }
 
-/** Links between a zone and the others: those that leave it, and those that enter it. */
+/** Returns the outgoing and incoming links between a zone and the others. */
 function linksOfZone(context: FaultContext, zone: string): { out: string[]; into: string[] } {
   const { processes, links } = context.fleet.plan;
   const zoneOf = new Map(processes.map((process) => [process.name, process.zone]));
-  const inner = links.filter((link) => zoneOf.has(link.source));
-  const out = inner.filter(
+  const internalLinks = links.filter((link) => zoneOf.has(link.source));
+  const out = internalLinks.filter(
     ({ source, target }) => zoneOf.get(source) === zone && zoneOf.get(target) !== zone,
   );
-  const into = inner.filter(
+  const into = internalLinks.filter(
     ({ source, target }) => zoneOf.get(source) !== zone && zoneOf.get(target) === zone,
   );
   return { out: out.map((link) => link.id), into: into.map((link) => link.id) };
@@ -47,28 +47,28 @@
   family: 'network',
   run(context) {
     const { name } = pickProcess(context, 'gateway');
-    return disturb(context, [`${name}>control-*`], SILENT_BOTH_WAYS, LONG_DURATION_MS);
+    return injectLinkFault(context, [`${name}>control-*`], DROP_BOTH_WAYS, LONG_DURATION_MS);
   },
 };
 
-/** The engine keeps its state and comes back with old holds; programs end meanwhile. */
+/** Programs end during the partition; the engine returns with memory held for them. */
 const engineCut: Fault = {
   name: 'engine-cut',
   family: 'network',
   run(context) {
     const { name } = pickProcess(context, 'engine');
-    return disturb(context, [`*>${name}`], SILENT_BOTH_WAYS);
+    return injectLinkFault(context, [`*>${name}`], DROP_BOTH_WAYS);
   },
 };
 
-/** The leader hears no other member, but gateways still reach it. */
+/** The leader is cut off from the other members, but gateways still reach it. */
 const journalLeaderIsolated: Fault = {
   name: 'journal-leader-isolated',
   family: 'network',
   async run(context) {
     const { name } = await pickJournalLeader(context);
     const links = [`${name}>control-*`, `control-*>${name}`];
-    await disturb(context, links, SILENT_BOTH_WAYS, LONG_DURATION_MS);
+    await injectLinkFault(context, links, DROP_BOTH_WAYS, LONG_DURATION_MS);
   },
 };
 
@@ -78,17 +78,17 @@
   run(context) {
     const zone = context.random.pick(context.fleet.plan.deployment.zones);
     const { out, into } = linksOfZone(context, zone);
-    return disturb(context, [...out, ...into], SILENT_BOTH_WAYS);
+    return injectLinkFault(context, [...out, ...into], DROP_BOTH_WAYS);
   },
 };
 
-/** What leaves the zone is lost; what comes in arrives. */
+/** Outgoing data of the zone is lost; incoming data arrives. */
 const zoneCutOneWay: Fault = {
   name: 'zone-cut-one-way',
   family: 'network',
   run(context) {
     const zone = context.random.pick(context.fleet.plan.deployment.zones);
-    return disturb(context, linksOfZone(context, zone).out, SILENT_TO_TARGET);
+    return injectLinkFault(context, linksOfZone(context, zone).out, DROP_TO_TARGET);
   },
 };
 
@@ -97,7 +97,7 @@
   family: 'network',
   run(context) {
     const direction = { ...NO_DIRECTION_FAULT, jitterMs: context.random.integer(5, MAX_JITTER_MS) };
-    return disturb(context, ['*'], { toTarget: direction, toClient: direction });
+    return injectLinkFault(context, ['*'], { toTarget: direction, toClient: direction });
   },
 };
 
@@ -107,7 +107,7 @@
   async run(context) {
     const resetAfterBytes = context.random.integer(1, RESET_AFTER_BYTES);
     const { name } = pickProcess(context, 'gateway');
-    await disturb(context, [`${name}>*`, `client>${name}`], { resetAfterBytes });
+    await injectLinkFault(context, [`${name}>*`, `client>${name}`], { resetAfterBytes });
   },
 };
 
@@ -116,26 +116,26 @@
   family: 'network',
   async run(context) {
     const { name } = pickProcess(context, 'control');
-    await disturb(context, [`*>${name}`], { halfOpen: true });
+    await injectLinkFault(context, [`*>${name}`], { halfOpen: true });
   },
 };
 
-const slowDrip: Fault = {
+const slowLink: Fault = {
   name: 'slow-drip',
   family: 'network',
   run(context) {
-    const direction = { ...NO_DIRECTION_FAULT, bytesPerSecond: DRIP_BYTES_PER_SECOND };
+    const direction = { ...NO_DIRECTION_FAULT, bytesPerSecond: SLOW_LINK_BYTES_PER_SECOND };
     const { name } = pickProcess(context, 'gateway');
-    return disturb(context, [`${name}>*`], { toTarget: direction, toClient: direction });
+    return injectLinkFault(context, [`${name}>*`], { toTarget: direction, toClient: direction });
   },
 };
 
-const hardCut: Fault = {
+const linkCut: Fault = {
   name: 'link-cut',
   family: 'network',
   run(context) {
     const { name } = pickProcess(context, 'gateway');
-    return disturb(context, [`${name}>*`], { cut: true });
+    return injectLinkFault(context, [`${name}>*`], { cut: true });
   },
 };
 
@@ -148,6 +148,6 @@
   jitter,
   connectionResets,
   halfOpen,
-  slowDrip,
-  hardCut,
+  slowLink,
+  linkCut,
 ];
--- a/lab/torture/faults/process-faults.ts
+++ b/lab/torture/faults/process-faults.ts
@@ -1,4 +1,4 @@
-/** Processes that die, stand still and come back, and those that are stopped on purpose. */
+/** Faults of processes: kills, suspensions and planned stops. */
 import { sleep } from '../../../src/common/index.js';
 import type { FleetProcess } from '../../fleet/fleet-process.js';
 import type { ProcessKind } from '../../fleet/fleet-plan.js';
@@ -6,23 +6,23 @@
 import type { Fault, FaultContext } from '../fault.js';
 
 const SHORT_DOWNTIME_MS = [200, 1_500] as const;
-/** Longer than the configuration lease of two seconds and than any election. */
+/** Longer than the configuration lease and than an election. */
 const FREEZE_MS = [2_300, 3_200] as const;
 const LEADER_FREEZE_MS = [900, 2_500] as const;
-const STOP_PATIENCE_MS = 20_000;
+const STOP_TIMEOUT_MS = 20_000;
 
 export function pickProcess(context: FaultContext, kind: ProcessKind): FleetProcess {
   return context.random.pick(context.fleet.ofKind(kind));
 }
 
-/** One of the groups of programs' journals. */
+/** Picks one of the consensus groups of the program journals. */
 export function pickJournalGroup({ fleet, random }: FaultContext): string {
   const settings = fleet.ofKind('control')[0]!.plan.settings;
   const { journalGroups } = settings.cluster as { journalGroups: number };
   return `journal-${random.integer(0, journalGroups - 1)}`;
 }
 
-/** The process that leads one of the journal groups; any control process when none does. */
+/** Picks the leader of a journal group; any control process if the group has no leader. */
 export async function pickJournalLeader(context: FaultContext): Promise<FleetProcess> {
   const leader = await findLeader(context.fleet, pickJournalGroup(context));
   return leader === undefined ? pickProcess(context, 'control') : context.fleet.process(leader);
@@ -52,7 +52,7 @@
   });
 }
 
-function stopAsPlanned(process: FleetProcess, context: FaultContext): Promise<void> {
+function stopGracefully(process: FleetProcess, context: FaultContext): Promise<void> {
   return context.locks.runExclusive(process.name, () => stopAndRestart(process, context));
 }
 
@@ -60,7 +60,7 @@
   const { fleet, recorder } = context;
   const { kind } = process.plan;
   const signalledAtMs = Date.now();
-  const exitCode = await process.stop(STOP_PATIENCE_MS);
+  const exitCode = await process.stop(STOP_TIMEOUT_MS);
   const position = fleet.ofKind('gateway').indexOf(process);
   recorder.history.plannedStops.push({
     process: process.name,
@@ -93,7 +93,7 @@
   return {
     name,
     family: 'process',
-    run: (context) => stopAsPlanned(pickProcess(context, kind), context),
+    run: (context) => stopGracefully(pickProcess(context, kind), context),
   };
 }
 
@@ -110,7 +110,7 @@
   run: async (context) => freeze(await pickJournalLeader(context), context, LEADER_FREEZE_MS),
 };
 
-/** A gateway and a journal leader at the same moment. */
+/** Kills a gateway and a journal leader concurrently. */
 const gatewayAndLeaderKill: Fault = {
   name: 'gateway-and-leader-kill',
   family: 'process',
--- a/lab/torture/history-recorder.ts
+++ b/lab/torture/history-recorder.ts
@@ -1,4 +1,4 @@
-/** Fills a history while a seed runs. */
+/** Records the history of a seed while it runs. */
 import type { ExchangeRecord } from '../../src/client/index.js';
 import { WorkloadRecorder } from '../workload/recorder.js';
 import { type ObservedExchange, type TortureHistory, emptyHistory } from './history.js';
@@ -13,7 +13,7 @@
     this.history = emptyHistory(seed);
   }
 
-  /** Notes an exchange of a caller; only those about calls matter. */
+  /** Records an exchange of a caller; exchanges that do not concern a call are ignored. */
   recordExchange(record: ExchangeRecord): void {
     const match = CALL_PATH.exec(record.path);
     if (!match) return;
@@ -25,18 +25,18 @@
       gateway,
       startedAtMs,
       endedAtMs,
-      kind: kindOf(record),
+      kind: classifyExchange(record),
     });
   }
 
-  /** The history with what the workload's callers saw. */
+  /** Returns the history including the calls and programs of the workload. */
   complete(): TortureHistory {
     const { calls, programs } = this.workload;
     return { ...this.history, calls, programs };
   }
 }
 
-function kindOf({ result }: ExchangeRecord): ObservedExchange['kind'] {
+function classifyExchange({ result }: ExchangeRecord): ObservedExchange['kind'] {
   if (result.kind === 'broken') return 'broken';
   if (result.kind !== 'problem') return 'answer';
   const { outcome, sendAgain } = result.problem;
--- a/lab/torture/history.ts
+++ b/lab/torture/history.ts
@@ -1,6 +1,6 @@
 /**
- * What callers, back ends and operators saw of one torture seed. The checker knows nothing else.
- * All times are wall-clock milliseconds of the one machine that everything runs on.
+ * The observations of callers, backends and operators during one torture seed: the only input of
+ * the checker. All times are wall-clock milliseconds of one machine.
  */
 import type { ArrivalRecord } from '../../emulator/engine/engine-server.js';
 import type { ExecutionRecord } from '../../emulator/model/engine-model.js';
@@ -8,7 +8,7 @@
 import type { ObservedCall, ObservedProgram } from '../workload/recorder.js';
 import type { Violation } from './checker/invariant.js';
 
-/** One exchange of a caller with one gateway about one submission of a call. */
+/** A request of a caller to a gateway for one submission of a call, and its result. */
 export interface ObservedExchange {
   program: string;
   sequence: number;
@@ -25,7 +25,7 @@
   engine: string;
 }
 
-/** A request that an engine finished or stopped. */
+/** A request that an engine finished or aborted. */
 export interface EngineExecution extends Omit<ExecutionRecord, 'model' | 'cachedTokens'> {
   engine: string;
   wallClockMs: number;
@@ -34,13 +34,13 @@
 /** A request that a service executed. */
 export type ServiceExecution = Pick<ServiceRecord, 'key' | 'payload' | 'wallClockMs'>;
 
-/** A payload that a caller was told has not run. */
+/** A payload that was rejected with the outcome `not_run`. */
 export interface RefusedPayload {
   payload: string;
   code: string;
 }
 
-/** A call whose copies were sent through several gateways at once. */
+/** A call that was sent through several gateways concurrently. */
 export interface CopiedCall {
   program: string;
   sequence: number;
@@ -49,7 +49,7 @@
   answers: string[];
 }
 
-/** A recorded answer that was fetched again. */
+/** A recorded answer that was read again. */
 export interface RepeatedRead {
   program: string;
   sequence: number;
@@ -57,32 +57,32 @@
   laterAnswer: string;
 }
 
-/** What another tenant's key was answered about a program, and about one that does not exist. */
+/** Responses to another tenant for an existing program and for a nonexistent one. */
 export interface ForeignRead {
   program: string;
   answer: string;
   answerForNoProgram: string;
 }
 
-/** What the system says that a root program and all below it spent. */
+/** Reported spending of a root program including its descendants. */
 export interface SpendingReport {
   program: string;
   budget: number;
   spent: number;
 }
 
-/** A back end that operators told to take no new work. */
+/** A backend that operators drain. */
 export interface Leaving {
   engine: string;
   acceptedAtMs: number;
-  /** When the observation ended, or the back end was made active again. */
+  /** When the observation ended or the backend became active again. */
   untilMs: number;
 }
 
 export interface PlannedStop {
   process: string;
   kind: string;
-  /** For a gateway: its callers' address. */
+  /** For a gateway: the address that callers use. */
   address?: string;
   signalledAtMs: number;
   exitedAtMs: number;
@@ -91,44 +91,44 @@
 
 export type ConfirmOutcome = 'accepted' | 'refused' | 'no-answer';
 
-/** One operator's attempt to confirm a plan; a resend repeats the request id. */
+/** An attempt of an operator to confirm a plan; a retry has the same request id. */
 export interface ObservedConfirm {
   requestId: string;
   planId: string;
   baseRevision: number;
   contentHash: string;
   outcome: ConfirmOutcome;
-  /** Revision and content named by the answer, when it was accepted. */
+  /** Revision and content hash of the response if the plan was accepted. */
   revision?: number;
   revisionContentHash?: string;
   answeredAtMs: number;
 }
 
-/** The revision that a gateway said it acts on. */
+/** The revision that a gateway reported as active. */
 export interface RevisionSighting {
   gateway: string;
   revision: number;
   atMs: number;
 }
 
-/** How long it took until a revision was in force at all reachable gateways. */
+/** The time until a revision was in effect at all reachable gateways. */
 export interface InForceObservation {
   revision: number;
-  /** Undefined: not in time. */
+  /** Undefined if the revision did not take effect within the timeout. */
   afterMs: number | undefined;
 }
 
-/** The configuration's history as read at the end. */
+/** An entry of the configuration history, read at the end of the seed. */
 export interface FinalRevision {
   revision: number;
   planId: string;
   contentHash: string;
 }
 
-/** Programs for which an engine still held memory or ran work, long after they ended. */
+/** Ended programs for which an engine still held memory or ran requests. */
 export interface MemoryObservation {
   engine: string;
-  /** Ended programs that were looked for. */
+  /** Number of ended programs that were checked. */
   endedPrograms: number;
   remaining: string[];
 }
@@ -153,7 +153,7 @@
   inForce: InForceObservation[];
   finalRevisions: FinalRevision[];
   memory: MemoryObservation[];
-  /** Promises that the system broke in plain sight, seen by a fault itself. */
+  /** Violations that a fault observed directly. */
   directViolations: Violation[];
 }
 
--- a/lab/torture/operator-simulator.ts
+++ b/lab/torture/operator-simulator.ts
@@ -1,4 +1,4 @@
-/** Operators who race each other, lose answers, send again and confirm stale plans. */
+/** Simulates operators that confirm concurrently, retry requests and confirm stale plans. */
 import { randomUUID } from 'node:crypto';
 import { request } from 'undici';
 import { type SeededRandom, sleep } from '../../src/common/index.js';
@@ -8,14 +8,14 @@
 import type { HistoryRecorder } from './history-recorder.js';
 import type { RevisionWatcher } from './revision-watcher.js';
 
-const TIMEOUT_MS = 1_500;
-const PATIENCE_MS = 15_000;
-const PAUSE_MS = 100;
-const IN_FORCE_PATIENCE_MS = 8_000;
+const REQUEST_TIMEOUT_MS = 1_500;
+const RETRY_TIMEOUT_MS = 15_000;
+const RETRY_DELAY_MS = 100;
+const IN_EFFECT_TIMEOUT_MS = 8_000;
 const HISTORY_LIMIT = 1_000;
 const HTTP_SERVER_ERROR = 500;
 
-interface Answer {
+interface OperatorResponse {
   status: number;
   body: unknown;
 }
@@ -31,8 +31,9 @@
   constructor(private readonly options: OperatorSimulatorOptions) {}
 
   /**
-   * Two operators drain an engine each, planned upon the same revision and confirmed together.
-   * @returns the engine that leaves, unless nobody got an answer
+   * Two operators each drain an engine, with plans for the same base revision that are confirmed
+   * concurrently.
+   * @returns the engine that is drained; undefined if no operator received a response
    */
   async confirmConcurrently(): Promise<Omit<Leaving, 'untilMs'> | undefined> {
     const { fleet, random } = this.options;
@@ -42,7 +43,7 @@
     const document = await this.readDocument();
     if (!document) return undefined;
     const plans = await Promise.all(
-      [first, second].map((engine) => this.plan(withState(document, engine, 'draining'))),
+      [first, second].map((engine) => this.plan(withBackendState(document, engine, 'draining'))),
     );
     const [firstPlan, secondPlan] = plans;
     if (!firstPlan || !secondPlan) return undefined;
@@ -53,17 +54,17 @@
     if (winner < 0) return undefined;
     const acceptedAtMs = Date.now();
     const loser = winner === 0 ? secondPlan : firstPlan;
-    const stale = this.confirm(loser, randomUUID());
+    const staleConfirm = this.confirm(loser, randomUUID());
     const { watcher } = this.options;
     const { revision } = revisions[winner]!;
     await Promise.all([
-      stale,
-      watcher.waitUntilInEffect(revision, acceptedAtMs, IN_FORCE_PATIENCE_MS),
+      staleConfirm,
+      watcher.waitUntilInEffect(revision, acceptedAtMs, IN_EFFECT_TIMEOUT_MS),
     ]);
     return { engine: winner === 0 ? first : second, acceptedAtMs };
   }
 
-  /** Makes all back ends active again. */
+  /** Reactivates all backends. */
   async activateAll(): Promise<void> {
     const document = await this.readDocument();
     if (!document || document.backends.every((backend) => backend.state === 'active')) return;
@@ -73,13 +74,17 @@
   }
 
   async recordFinalRevisions(): Promise<void> {
-    const answer = await this.persist('GET', `/v1/history?limit=${HISTORY_LIMIT}`, undefined);
-    for (const { revision, planId, contentHash } of (answer?.body ?? []) as Revision[]) {
+    const response = await this.sendUntilResponse(
+      'GET',
+      `/v1/history?limit=${HISTORY_LIMIT}`,
+      undefined,
+    );
+    for (const { revision, planId, contentHash } of (response?.body ?? []) as Revision[]) {
       this.options.recorder.history.finalRevisions.push({ revision, planId, contentHash });
     }
   }
 
-  /** Confirms, and asks again with the same request id, as after a lost answer. */
+  /** Confirms a plan and sends a duplicate with the same request id, like a retry after a timeout. */
   private async confirmTwice(plan: Plan): Promise<Revision | undefined> {
     const requestId = randomUUID();
     const [first, second] = await Promise.all([
@@ -91,9 +96,9 @@
 
   private async confirm(plan: Plan, requestId: string): Promise<Revision | undefined> {
     const path = `/v1/plans/${plan.id}/confirm`;
-    const answer = await this.persist('POST', path, {}, requestId);
-    const outcome = outcomeOf(answer);
-    const revision = outcome === 'accepted' ? (answer!.body as Revision) : undefined;
+    const response = await this.sendUntilResponse('POST', path, {}, requestId);
+    const outcome = confirmOutcome(response);
+    const revision = outcome === 'accepted' ? (response!.body as Revision) : undefined;
     this.options.recorder.history.confirms.push({
       requestId,
       planId: plan.id,
@@ -108,30 +113,32 @@
   }
 
   private async plan(document: IntentDocument): Promise<Plan | undefined> {
-    const answer = await this.persist('POST', '/v1/plans', document);
-    return answer && answer.status < 300 ? (answer.body as Plan) : undefined;
+    const response = await this.sendUntilResponse('POST', '/v1/plans', document);
+    return response && response.status < 300 ? (response.body as Plan) : undefined;
   }
 
   private async readDocument(): Promise<IntentDocument | undefined> {
-    const answer = await this.persist('GET', '/v1/document', undefined);
-    return (answer?.body as { document: IntentDocument } | undefined)?.document;
+    const response = await this.sendUntilResponse('GET', '/v1/document', undefined);
+    return (response?.body as { document: IntentDocument } | undefined)?.document;
   }
 
-  /** Sends to one control process after the other until there is an answer. */
-  private async persist(
+  /** Sends the request to the control processes in turn until one responds. */
+  private async sendUntilResponse(
     method: 'GET' | 'POST',
     path: string,
     body: unknown,
     requestId: string = randomUUID(),
-  ): Promise<Answer | undefined> {
+  ): Promise<OperatorResponse | undefined> {
     const controls = this.options.fleet.ofKind('control');
-    const deadline = Date.now() + PATIENCE_MS;
-    let next = Math.floor(Math.random() * controls.length);
+    const deadline = Date.now() + RETRY_TIMEOUT_MS;
+    let nextControl = Math.floor(Math.random() * controls.length);
     while (Date.now() < deadline) {
-      const address = controls[next++ % controls.length]!.plan.operatorAddress!;
-      const answer = await this.send(address, method, path, body, requestId).catch(() => undefined);
-      if (answer && answer.status < HTTP_SERVER_ERROR) return answer;
-      await sleep(PAUSE_MS);
+      const address = controls[nextControl++ % controls.length]!.plan.operatorAddress!;
+      const response = await this.send(address, method, path, body, requestId).catch(
+        () => undefined,
+      );
+      if (response && response.status < HTTP_SERVER_ERROR) return response;
+      await sleep(RETRY_DELAY_MS);
     }
     return undefined;
   }
@@ -142,7 +149,7 @@
     path: string,
     body: unknown,
     requestId: string,
-  ): Promise<Answer> {
+  ): Promise<OperatorResponse> {
     const response = await request(`http://${address}${path}`, {
       method,
       headers: {
@@ -151,19 +158,19 @@
         'idempotency-key': requestId,
       },
       body: body === undefined ? null : JSON.stringify(body),
-      headersTimeout: TIMEOUT_MS,
-      bodyTimeout: TIMEOUT_MS,
+      headersTimeout: REQUEST_TIMEOUT_MS,
+      bodyTimeout: REQUEST_TIMEOUT_MS,
     });
     return { status: response.statusCode, body: await response.body.json() };
   }
 }
 
-function outcomeOf(answer: Answer | undefined): ConfirmOutcome {
-  if (!answer) return 'no-answer';
-  return answer.status < 300 ? 'accepted' : 'refused';
+function confirmOutcome(response: OperatorResponse | undefined): ConfirmOutcome {
+  if (!response) return 'no-answer';
+  return response.status < 300 ? 'accepted' : 'refused';
 }
 
-function withState(
+function withBackendState(
   document: IntentDocument,
   engine: string,
   state: BackendIntent['state'],
--- a/lab/torture/probes/availability-probe.ts
+++ b/lab/torture/probes/availability-probe.ts
@@ -1,4 +1,4 @@
-/** Callers that send one small call after the other and note how long each takes. */
+/** Callers that send small calls sequentially and record their durations. */
 import type { ProgramClient } from '../../../src/client/index.js';
 import { monotonicMs, sleep } from '../../../src/common/index.js';
 import type { Fleet } from '../../fleet/fleet.js';
@@ -9,19 +9,19 @@
 } from '../../load/gateway-clients.js';
 
 const PAUSE_MS = 25;
-const PATIENCE_MS = 20_000;
-const SILENCE_MS = 2_000;
+const CALL_TIMEOUT_MS = 20_000;
+const SILENCE_TIMEOUT_MS = 2_000;
 const PROBES_PER_GATEWAY = 2;
 
-/** One probe's time from the first try to the answer. */
+/** The time of a probe from the first attempt to the answer. */
 export interface ProbeInterval {
   startedAtMs: number;
   endedAtMs: number;
 }
 
 export class AvailabilityProbe {
-  readonly times: ProbeInterval[] = [];
-  private readonly stopping = new AbortController();
+  readonly intervals: ProbeInterval[] = [];
+  private readonly stopController = new AbortController();
   private readonly clients: TenantClients[] = [];
   private tasks: Promise<void>[] = [];
 
@@ -29,7 +29,7 @@
 
   start(): void {
     const [tenant] = this.fleet.plan.deployment.tenants;
-    const options = { patienceMs: PATIENCE_MS, silenceMs: SILENCE_MS };
+    const options = { patienceMs: CALL_TIMEOUT_MS, silenceMs: SILENCE_TIMEOUT_MS };
     for (let probe = 0; probe < PROBES_PER_GATEWAY; probe += 1) {
       const sets = createGatewayClients(this.fleet, options);
       this.clients.push(...sets);
@@ -38,14 +38,14 @@
   }
 
   async stop(): Promise<void> {
-    this.stopping.abort();
+    this.stopController.abort();
     await Promise.all(this.tasks);
     await closeClients(this.clients);
   }
 
-  /** The longest that a caller waited for a small call begun in a span of time. */
+  /** Returns the longest duration of the probes that overlap a time span. */
   longestWait(fromMs: number, untilMs: number): number {
-    const within = this.times.filter(
+    const within = this.intervals.filter(
       ({ startedAtMs, endedAtMs }) => endedAtMs >= fromMs && startedAtMs <= untilMs,
     );
     return Math.max(0, ...within.map(({ startedAtMs, endedAtMs }) => endedAtMs - startedAtMs));
@@ -53,7 +53,7 @@
 
   private async probe(client: ProgramClient): Promise<void> {
     const { model } = this.fleet.plan.deployment;
-    const { signal } = this.stopping;
+    const { signal } = this.stopController;
     while (!signal.aborted) {
       const startedAtMs = monotonicMs();
       try {
@@ -66,9 +66,9 @@
         });
         void program.end().catch(() => undefined);
       } catch {
-        // How long it went on is what counts.
+        // Failed probes count with their duration.
       }
-      this.times.push({ startedAtMs, endedAtMs: monotonicMs() });
+      this.intervals.push({ startedAtMs, endedAtMs: monotonicMs() });
       await sleep(PAUSE_MS, signal);
     }
   }
--- a/lab/torture/probes/caller-probes.ts
+++ b/lab/torture/probes/caller-probes.ts
@@ -1,6 +1,6 @@
 /**
- * Callers whose copies come late, doubled and crossed: calls sent before their turn and again when
- * it has come, and calls sent through all gateways at once.
+ * Callers that send calls out of order, delayed duplicates, duplicates through all gateways and calls
+ * above the budget.
  */
 import { sleep } from '../../../src/common/index.js';
 import type { Fleet } from '../../fleet/fleet.js';
@@ -14,7 +14,7 @@
 } from './raw-gateway-client.js';
 
 const PAUSE_MS = 100;
-const TRIES = 40;
+const MAX_ATTEMPTS = 40;
 const BUDGET = 100_000;
 
 export interface CallerProbesOptions {
@@ -31,60 +31,60 @@
 
   constructor(private readonly options: CallerProbesOptions) {}
 
-  /** Goes on until told to stop. */
+  /** Runs until the signal is aborted. */
   async run(): Promise<void> {
     const { signal } = this.options;
     while (!signal.aborted) {
-      await Promise.all([this.sendBeforeItsTurn(), this.sendCopies(), this.exceedBudget()]);
+      await Promise.all([this.sendOutOfOrder(), this.sendDuplicates(), this.exceedBudget()]);
       await sleep(PAUSE_MS, signal);
     }
   }
 
-  /** A call refused as out of order; its delayed copy arrives when its turn has come. */
-  private async sendBeforeItsTurn(): Promise<void> {
+  /** A call is rejected as out of order; delayed duplicates arrive after its predecessor ended. */
+  private async sendOutOfOrder(): Promise<void> {
     const program = await this.open(BUDGET);
     if (program === undefined) return;
     const early = this.serviceCall(program, 2, 'early');
     const refused = await this.send(early.call);
-    if (!this.noteIfRefused(early.payload, refused)) return;
+    if (!this.recordIfRefused(early.payload, refused)) return;
     const first = this.serviceCall(program, 1, 'first');
-    if (!(await this.persist(first.call))) return;
+    if (!(await this.sendUntilAnswered(first.call))) return;
     const copies = [0, 1].map((gateway) => this.send({ ...early.call, gateway, isResend: true }));
     await Promise.all(copies);
-    const renewed = this.serviceCall(program, 2, 'renewed', 2);
-    await this.persist(renewed.call);
+    const resubmitted = this.serviceCall(program, 2, 'renewed', 2);
+    await this.sendUntilAnswered(resubmitted.call);
   }
 
-  /** The same submission through every gateway, then once more. */
-  private async sendCopies(): Promise<void> {
+  /** Sends the same submission through all gateways, then once more. */
+  private async sendDuplicates(): Promise<void> {
     const program = await this.open(BUDGET);
     if (program === undefined) return;
     const { call, payload } = this.serviceCall(program, 1, 'copy');
     const { gateways, recorder } = this.options;
-    const everywhere = Array.from({ length: gateways.count }, (_, gateway) =>
+    const sends = Array.from({ length: gateways.count }, (_, gateway) =>
       this.send({ ...call, gateway, isResend: gateway % 2 === 1 }),
     );
-    const exchanges = await Promise.all(everywhere);
+    const exchanges = await Promise.all(sends);
     exchanges.push(await this.send({ ...call, gateway: this.counter, isResend: true }));
     const answers = exchanges.map(answerContent).filter((answer) => answer !== undefined);
     const copied = { program, sequence: 1, payload, isRepeatable: false, answers };
     recorder.history.copiedCalls.push(copied);
   }
 
-  /** A call that the budget does not cover, tried through two gateways. */
+  /** Sends a call above the budget through two gateways. */
   private async exceedBudget(): Promise<void> {
-    const tooLittle = 1;
-    const program = await this.open(tooLittle);
+    const insufficientBudget = 1;
+    const program = await this.open(insufficientBudget);
     if (program === undefined) return;
     const first = this.serviceCall(program, 1, 'covered');
-    if (!(await this.persist(first.call))) return;
+    if (!(await this.sendUntilAnswered(first.call))) return;
     const { call, payload } = this.serviceCall(program, 2, 'uncovered');
     const exchange = await this.send(call);
-    if (!this.noteIfRefused(payload, exchange)) return;
+    if (!this.recordIfRefused(payload, exchange)) return;
     await this.send({ ...call, gateway: call.gateway + 1, isResend: true });
   }
 
-  private noteIfRefused(
+  private recordIfRefused(
     payload: string,
     exchange: Awaited<ReturnType<RawGatewayClient['send']>>,
   ): boolean {
@@ -133,11 +133,11 @@
     return { call, payload };
   }
 
-  /** Sends the same submission until it is answered; false when it never was. */
-  private async persist(call: RawCall): Promise<boolean> {
+  /** Retries a call until it is answered; returns false if it is not. */
+  private async sendUntilAnswered(call: RawCall): Promise<boolean> {
     let { gateway, submission = 1 } = call;
-    for (let tries = 0; tries < TRIES; tries += 1) {
-      const exchange = await this.send({ ...call, gateway, submission, isResend: tries > 0 });
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
+      const exchange = await this.send({ ...call, gateway, submission, isResend: attempt > 0 });
       if (answerContent(exchange) !== undefined) return true;
       if (exchange.kind === 'problem') {
         if (!exchange.problem.sendAgain) return false;
--- a/lab/torture/probes/final-reads.ts
+++ b/lab/torture/probes/final-reads.ts
@@ -1,14 +1,14 @@
-/** Reads after all faults are mended: recorded answers again, other tenants' programs, spending. */
+/** Reads after all faults have ended: recorded answers, programs of other tenants, spending. */
 import type { Exchange } from '../../../src/client/index.js';
 import type { SeededRandom } from '../../../src/common/index.js';
 import type { Fleet } from '../../fleet/fleet.js';
 import type { TortureHistory } from '../history.js';
 import { type RawGatewayClient, answerContent, callPath } from './raw-gateway-client.js';
 
-const CALLS_READ = 60;
-const PROGRAMS_READ = 20;
-const TRIES = 5;
-const NO_PROGRAM = 'p000000000000000000000000';
+const MAX_CALLS_READ = 60;
+const MAX_PROGRAMS_READ = 20;
+const MAX_ATTEMPTS = 5;
+const NONEXISTENT_PROGRAM = 'p000000000000000000000000';
 
 export interface FinalReadsOptions {
   fleet: Fleet;
@@ -18,23 +18,23 @@
 }
 
 export async function runFinalReads(options: FinalReadsOptions): Promise<void> {
-  await readAnswersAgain(options);
+  await rereadAnswers(options);
   await readAsOtherTenant(options);
   await readSpending(options);
 }
 
-async function readAnswersAgain({ gateways, random, history }: FinalReadsOptions): Promise<void> {
+async function rereadAnswers({ gateways, random, history }: FinalReadsOptions): Promise<void> {
   const completed = history.calls.filter((call) => call.outcome === 'completed');
-  for (const call of sample(random, completed, CALLS_READ)) {
+  for (const call of sample(random, completed, MAX_CALLS_READ)) {
     const { program, sequence, tenant, answer } = call;
     const path = callPath(program, sequence);
     const gateway = random.integer(0, gateways.count - 1);
-    const exchange = await readPersistently(gateways, { gateway, tenant, path });
+    const exchange = await readWithRetries(gateways, { gateway, tenant, path });
     history.repeatedReads.push({
       program,
       sequence,
       firstAnswer: answer!,
-      laterAnswer: answerContent(exchange) ?? describe(exchange),
+      laterAnswer: answerContent(exchange) ?? describeExchange(exchange),
     });
   }
 }
@@ -42,31 +42,31 @@
 async function readAsOtherTenant(options: FinalReadsOptions): Promise<void> {
   const { fleet, gateways, random, history } = options;
   const known = history.programs.filter((program) => program.id !== '');
-  for (const { id, tenant } of sample(random, known, PROGRAMS_READ)) {
+  for (const { id, tenant } of sample(random, known, MAX_PROGRAMS_READ)) {
     const others = fleet.plan.deployment.tenants.filter((other) => other !== tenant);
-    const foreigner = random.pick(others);
+    const otherTenant = random.pick(others);
     const gateway = random.integer(0, gateways.count - 1);
-    const ask = (path: string): Promise<Exchange> =>
-      readPersistently(gateways, { gateway, tenant: foreigner, path });
+    const readPath = (path: string): Promise<Exchange> =>
+      readWithRetries(gateways, { gateway, tenant: otherTenant, path });
     const pathsOf = (program: string): string[] => [
       `/v1/programs/${program}`,
       callPath(program, 1),
     ];
-    const answers = await Promise.all(pathsOf(id).map(ask));
-    const answersForNone = await Promise.all(pathsOf(NO_PROGRAM).map(ask));
+    const answers = await Promise.all(pathsOf(id).map(readPath));
+    const answersForNonexistent = await Promise.all(pathsOf(NONEXISTENT_PROGRAM).map(readPath));
     history.foreignReads.push({
       program: id,
-      answer: answers.map(describe).join(' '),
-      answerForNoProgram: answersForNone.map(describe).join(' '),
+      answer: answers.map(describeExchange).join(' '),
+      answerForNoProgram: answersForNonexistent.map(describeExchange).join(' '),
     });
   }
 }
 
 async function readSpending({ gateways, random, history }: FinalReadsOptions): Promise<void> {
   const roots = history.programs.filter((program) => program.isRoot && program.id !== '');
-  for (const { id, tenant } of sample(random, roots, PROGRAMS_READ)) {
+  for (const { id, tenant } of sample(random, roots, MAX_PROGRAMS_READ)) {
     const gateway = random.integer(0, gateways.count - 1);
-    const exchange = await readPersistently(gateways, {
+    const exchange = await readWithRetries(gateways, {
       gateway,
       tenant,
       path: `/v1/programs/${id}`,
@@ -77,20 +77,20 @@
   }
 }
 
-async function readPersistently(
+async function readWithRetries(
   gateways: RawGatewayClient,
   read: { gateway: number; tenant: string; path: string },
 ): Promise<Exchange> {
   let exchange: Exchange = { kind: 'broken', reason: 'not sent' };
-  for (let tries = 0; tries < TRIES; tries += 1) {
-    exchange = await gateways.send({ ...read, gateway: read.gateway + tries, method: 'GET' });
+  for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
+    exchange = await gateways.send({ ...read, gateway: read.gateway + attempt, method: 'GET' });
     const isFinal = exchange.kind === 'problem' && !exchange.problem.sendAgain;
     if (exchange.kind === 'document' || isFinal) break;
   }
   return exchange;
 }
 
-function describe(exchange: Exchange): string {
+function describeExchange(exchange: Exchange): string {
   switch (exchange.kind) {
     case 'problem':
       return JSON.stringify(exchange.problem);
--- a/lab/torture/probes/raw-gateway-client.ts
+++ b/lab/torture/probes/raw-gateway-client.ts
@@ -1,9 +1,9 @@
-/** Raw access to the gateways of a fleet, one exchange at a time, for callers who misbehave. */
+/** Sends single requests to the gateways of a fleet, without the retries of the client library. */
 import { type Exchange, Transport } from '../../../src/client/transport.js';
 import type { Fleet } from '../../fleet/fleet.js';
 
 const CONNECT_TIMEOUT_MS = 500;
-const SILENCE_MS = 6_000;
+const SILENCE_TIMEOUT_MS = 6_000;
 
 export interface RawCall {
   /** Position in the fleet's list of gateways. */
@@ -34,7 +34,14 @@
     if (call.isResend) headers['ledgegauge-resend'] = 'true';
     const { method, path, body } = call;
     const gateway = clientGateways[call.gateway % this.count]!;
-    return this.transport.exchange({ gateway, method, path, headers, body, silenceMs: SILENCE_MS });
+    return this.transport.exchange({
+      gateway,
+      method,
+      path,
+      headers,
+      body,
+      silenceMs: SILENCE_TIMEOUT_MS,
+    });
   }
 
   close(): Promise<void> {
@@ -46,7 +53,7 @@
   return `/v1/programs/${program}/calls/${sequence}`;
 }
 
-/** Content of an answered call; undefined when there is none. */
+/** Returns the content of an answered call; undefined if there is none. */
 export function answerContent(exchange: Exchange): string | undefined {
   if (exchange.kind === 'answer') return exchange.answer.content;
   if (exchange.kind !== 'document') return undefined;
@@ -54,7 +61,7 @@
   return body.choices?.[0]?.message.content;
 }
 
-/** Whether the answer says that the request did not run. */
+/** Tells whether the response states that the request was not run. */
 export function isNotRun(exchange: Exchange): boolean {
   return exchange.kind === 'problem' && exchange.problem.outcome === 'not_run';
 }
--- a/lab/torture/process-locks.ts
+++ b/lab/torture/process-locks.ts
@@ -1,15 +1,15 @@
-/** One fault at a time for each process. */
+/** Serializes the faults of each process. */
 export class ProcessLocks {
   private readonly tails = new Map<string, Promise<void>>();
 
-  /** Runs `work` once all earlier work on the same process has ended. */
-  async runExclusive(process: string, work: () => Promise<void>): Promise<void> {
-    const before = this.tails.get(process) ?? Promise.resolve();
-    const own = before.then(work);
+  /** Runs `work` after all earlier work on the same process has ended. */
+  async runExclusive(processName: string, work: () => Promise<void>): Promise<void> {
+    const previous = this.tails.get(processName) ?? Promise.resolve();
+    const current = previous.then(work);
     this.tails.set(
-      process,
-      own.catch(() => undefined),
+      processName,
+      current.catch(() => undefined),
     );
-    await own;
+    await current;
   }
 }
--- a/lab/torture/record-reader.ts
+++ b/lab/torture/record-reader.ts
@@ -1,4 +1,4 @@
-/** Reads what back ends appended to their record files since the last time. */
+/** Reads the records that backends appended to their files since the previous read. */
 import { closeSync, existsSync, fstatSync, openSync, readSync } from 'node:fs';
 import type { Fleet } from '../fleet/fleet.js';
 import { recordFilePath } from '../fleet/fleet-plan.js';
@@ -19,7 +19,7 @@
 
   constructor(private readonly fleet: Fleet) {}
 
-  /** Adds all new records to a history; with `undefined`, skips them. */
+  /** Adds all new records to a history; skips them if `history` is undefined. */
   readInto(history: TortureHistory | undefined): void {
     const backends = [...this.fleet.ofKind('engine'), ...this.fleet.ofKind('service')];
     for (const { name } of backends) {
--- a/lab/torture/revision-watcher.ts
+++ b/lab/torture/revision-watcher.ts
@@ -1,16 +1,16 @@
-/** Watches on which revision each gateway acts, from outside: by its metrics page. */
+/** Polls the metrics of the gateways for their active configuration revision. */
 import { sleep } from '../../src/common/index.js';
 import type { Fleet } from '../fleet/fleet.js';
 import { metricValue, readMetrics } from '../fleet/process-metrics.js';
 import type { HistoryRecorder } from './history-recorder.js';
 
-const POLL_MS = 100;
-const TIMEOUT_MS = 300;
+const POLL_INTERVAL_MS = 100;
+const REQUEST_TIMEOUT_MS = 300;
 
 export class RevisionWatcher {
-  private readonly stopping = new AbortController();
-  /** Latest revision of each gateway that may act; absent when it may not or does not answer. */
-  private readonly acting = new Map<string, number>();
+  private readonly stopController = new AbortController();
+  /** Active revision of each gateway that holds a lease and responds. */
+  private readonly activeRevisions = new Map<string, number>();
   private tasks: Promise<void>[] = [];
 
   constructor(
@@ -25,39 +25,41 @@
   }
 
   async stop(): Promise<void> {
-    this.stopping.abort();
+    this.stopController.abort();
     await Promise.all(this.tasks);
   }
 
-  /** Waits until no gateway acts on an earlier revision; notes how long that took. */
+  /** Waits until no gateway uses an earlier revision, and records the elapsed time. */
   async waitUntilInEffect(
     revision: number,
     acceptedAtMs: number,
-    patienceMs: number,
+    timeoutMs: number,
   ): Promise<void> {
-    const isInForce = (): boolean => [...this.acting.values()].every((acted) => acted >= revision);
-    while (!isInForce() && Date.now() - acceptedAtMs < patienceMs) await sleep(POLL_MS / 4);
-    const afterMs = isInForce() ? Date.now() - acceptedAtMs : undefined;
+    const isInEffect = (): boolean =>
+      [...this.activeRevisions.values()].every((acted) => acted >= revision);
+    while (!isInEffect() && Date.now() - acceptedAtMs < timeoutMs)
+      await sleep(POLL_INTERVAL_MS / 4);
+    const afterMs = isInEffect() ? Date.now() - acceptedAtMs : undefined;
     this.recorder.history.inForce.push({ revision, afterMs });
   }
 
   private async watch(gateway: string, address: string): Promise<void> {
-    const { signal } = this.stopping;
+    const { signal } = this.stopController;
     while (!signal.aborted) {
-      const revision = await readActingRevision(address).catch(() => undefined);
+      const revision = await readActiveRevision(address).catch(() => undefined);
       if (revision === undefined) {
-        this.acting.delete(gateway);
+        this.activeRevisions.delete(gateway);
       } else {
-        this.acting.set(gateway, revision);
+        this.activeRevisions.set(gateway, revision);
         this.recorder.history.sightings.push({ gateway, revision, atMs: Date.now() });
       }
-      await sleep(POLL_MS, signal);
+      await sleep(POLL_INTERVAL_MS, signal);
     }
   }
 }
 
-async function readActingRevision(address: string): Promise<number | undefined> {
-  const page = await readMetrics(address, TIMEOUT_MS);
+async function readActiveRevision(address: string): Promise<number | undefined> {
+  const page = await readMetrics(address, REQUEST_TIMEOUT_MS);
   if (metricValue(page, 'ledgegauge_gateway_lease_held') !== 1) return undefined;
   return metricValue(page, 'ledgegauge_gateway_revision');
 }
--- a/lab/torture/schedule.test.ts
+++ b/lab/torture/schedule.test.ts
@@ -2,12 +2,12 @@
 import { ALL_FAULTS, selectFaults } from './faults/index.js';
 import { createSchedule } from './schedule.js';
 
-describe('a schedule', () => {
-  it('follows from its seed alone', () => {
+describe('torture schedule', () => {
+  it('is determined by its seed', () => {
     expect(createSchedule(7, ALL_FAULTS)).toEqual(createSchedule(7, ALL_FAULTS));
   });
 
-  it('gives every fault its turn, alone, with others and twice', () => {
+  it('covers each fault, as a single fault, combined with another and repeated', () => {
     const schedules = Array.from({ length: 200 }, (_, seed) => createSchedule(seed, ALL_FAULTS));
     const first = new Set(schedules.map(({ faults }) => faults[0]!.fault.name));
     expect(first.size).toBe(ALL_FAULTS.length);
@@ -17,7 +17,7 @@
     expect(pairs.some(({ faults: [one, two] }) => one!.fault !== two!.fault)).toBe(true);
   });
 
-  it('never loses two disks at the same time', () => {
+  it('includes at most one disk fault', () => {
     for (let seed = 0; seed < 500; seed += 1) {
       const { faults } = createSchedule(seed, ALL_FAULTS);
       const disks = faults.filter(({ fault }) => fault.family === 'disk');
@@ -25,11 +25,11 @@
     }
   });
 
-  it('takes faults by name and refuses unknown ones', () => {
+  it('selects faults by name and rejects unknown names', () => {
     expect(selectFaults('jitter,disk-lost').map((fault) => fault.name)).toEqual([
       'jitter',
       'disk-lost',
     ]);
-    expect(() => selectFaults('earthquake')).toThrow('no fault earthquake');
+    expect(() => selectFaults('earthquake')).toThrow('unknown fault earthquake');
   });
 });
--- a/lab/torture/seed-run.ts
+++ b/lab/torture/seed-run.ts
@@ -1,4 +1,4 @@
-/** One seed: load, probes and operators on a live fleet while faults happen; then the verdict. */
+/** Runs one seed: load, probes and operators on a fleet during faults, then checks the history. */
 import { SeededRandom, describeError, monotonicMs, sleep } from '../../src/common/index.js';
 import type { Fleet } from '../fleet/fleet.js';
 import { type CheckResult, checkHistory } from './checker/index.js';
@@ -17,23 +17,23 @@
 import { type Schedule, type ScheduledFault } from './schedule.js';
 import { TortureLoad } from './torture-load.js';
 
-/** Load goes on for at least this long, so that a leaving engine is watched beyond its limit. */
-const MINIMUM_LOAD_MS = 4_800;
-const WATCH_LEAVING_MS = 3_800;
-const HEAL_PATIENCE_MS = 30_000;
-/** How long after a fault was mended its effects on callers are counted as its own. */
-const AFTERMATH_MS = 1_500;
+/** Longer than the drain limit, so that requests to a drained engine after it are detected. */
+const MIN_LOAD_DURATION_MS = 4_800;
+const DRAIN_OBSERVATION_MS = 3_800;
+const REPLICATION_TIMEOUT_MS = 30_000;
+/** Time after the end of a fault in which waits of callers are still attributed to it. */
+const AFTEREFFECT_MS = 1_500;
 
 export interface SeedResult {
   seed: number;
   faults: string[];
   check: CheckResult;
   history: TortureHistory;
-  /** Why the seed proves nothing; undefined when it does. */
+  /** Why the result is inconclusive; undefined if it is conclusive. */
   inconclusive?: string;
-  /** The longest wait of a caller, if the seed had a single fault, in milliseconds. */
+  /** Longest wait of a caller if the seed had a single fault, in milliseconds. */
   unavailableMs?: number;
-  /** From acceptance to in force at all reachable gateways, in milliseconds. */
+  /** Times from acceptance until in effect at all reachable gateways, in milliseconds. */
   inForceMs: number[];
 }
 
@@ -50,13 +50,13 @@
   private readonly operators: OperatorSimulator;
   private readonly availability: AvailabilityProbe;
   private readonly locks = new ProcessLocks();
-  private readonly spans: FaultSpan[] = [];
+  private readonly faultSpans: FaultSpan[] = [];
   private startedAtMs = 0;
   private inconclusive: string | undefined;
 
   constructor(
     private readonly fleet: Fleet,
-    private readonly records: RecordReader,
+    private readonly recordReader: RecordReader,
     private readonly seed: number,
     private readonly schedule: Schedule,
   ) {
@@ -70,19 +70,21 @@
   }
 
   async run(): Promise<SeedResult> {
-    this.records.readInto(undefined);
+    this.recordReader.readInto(undefined);
     await this.runUnderLoad();
-    await this.heal();
+    await this.waitForRecovery();
     await this.operators.activateAll();
     const history = this.recorder.complete();
-    const ended = history.programs.filter((program) => program.isEnded && program.id !== '');
-    const endedIds = new Set(ended.map((program) => program.id));
+    const endedPrograms = history.programs.filter(
+      (program) => program.isEnded && program.id !== '',
+    );
+    const endedIds = new Set(endedPrograms.map((program) => program.id));
     history.memory.push(...(await observeEngineMemory(this.fleet, endedIds)));
     const { fleet, gateways, random } = this;
     await runFinalReads({ fleet, gateways, random, history });
     await this.operators.recordFinalRevisions();
     await this.gateways.close();
-    this.records.readInto(history);
+    this.recordReader.readInto(history);
     return this.result(history);
   }
 
@@ -97,9 +99,11 @@
     this.watcher.start();
     this.availability.start();
     const probing = callers.run();
-    const events = [...schedule.faults, schedule.plannedStop].map((event) => this.inject(event));
-    await Promise.all([...events, this.drainAnEngine(), sleep(MINIMUM_LOAD_MS)]);
-    await this.mendProcesses();
+    const injections = [...schedule.faults, schedule.plannedStop].map((event) =>
+      this.inject(event),
+    );
+    await Promise.all([...injections, this.drainEngine(), sleep(MIN_LOAD_DURATION_MS)]);
+    await this.restoreProcesses();
     await load.stop();
     stopProbes.abort();
     await probing;
@@ -117,20 +121,21 @@
       this.inconclusive ??= `${fault.name}: ${describeError(error)}`;
     }
     span.endedAtMs = monotonicMs();
-    if (this.schedule.faults.some((scheduled) => scheduled.fault === fault)) this.spans.push(span);
+    if (this.schedule.faults.some((scheduled) => scheduled.fault === fault))
+      this.faultSpans.push(span);
   }
 
-  /** Operators race; the engine of the winner leaves and is watched. */
-  private async drainAnEngine(): Promise<void> {
+  /** Operators confirm concurrently; the engine that the accepted plan drains is observed. */
+  private async drainEngine(): Promise<void> {
     await this.sleepUntil(this.schedule.operatorsAtMs);
-    const leaving = await this.operators.confirmConcurrently();
-    if (!leaving) return;
-    await sleep(WATCH_LEAVING_MS - (Date.now() - leaving.acceptedAtMs));
-    this.recorder.history.leavings.push({ ...leaving, untilMs: Date.now() });
+    const drained = await this.operators.confirmConcurrently();
+    if (!drained) return;
+    await sleep(DRAIN_OBSERVATION_MS - (Date.now() - drained.acceptedAtMs));
+    this.recorder.history.leavings.push({ ...drained, untilMs: Date.now() });
   }
 
-  /** Starts what two faults on one process may have left ended. */
-  private async mendProcesses(): Promise<void> {
+  /** Clears link faults, resumes suspended processes and starts those that are not running. */
+  private async restoreProcesses(): Promise<void> {
     await this.fleet.clearFaults();
     for (const process of this.fleet.processes.values()) {
       process.signal('SIGCONT');
@@ -138,13 +143,13 @@
     }
   }
 
-  private async heal(): Promise<void> {
+  private async waitForRecovery(): Promise<void> {
     try {
-      await this.mendProcesses();
+      await this.restoreProcesses();
       await this.fleet.waitUntilGatewaysReady();
-      await waitUntilFullyReplicated(this.fleet, HEAL_PATIENCE_MS);
+      await waitUntilFullyReplicated(this.fleet, REPLICATION_TIMEOUT_MS);
     } catch (error) {
-      this.inconclusive ??= `not healed: ${describeError(error)}`;
+      this.inconclusive ??= `cluster did not recover: ${describeError(error)}`;
     }
   }
 
@@ -153,8 +158,8 @@
   }
 
   private result(history: TortureHistory): SeedResult {
-    const { seed, schedule, spans, inconclusive } = this;
-    const [only, ...others] = spans;
+    const { seed, schedule, faultSpans, inconclusive } = this;
+    const [only, ...others] = faultSpans;
     const isSingle = only !== undefined && others.length === 0;
     return {
       seed,
@@ -163,7 +168,7 @@
       history,
       inconclusive,
       unavailableMs: isSingle
-        ? this.availability.longestWait(only.startedAtMs, only.endedAtMs + AFTERMATH_MS)
+        ? this.availability.longestWait(only.startedAtMs, only.endedAtMs + AFTEREFFECT_MS)
         : undefined,
       inForceMs: history.inForce.flatMap(({ afterMs }) => (afterMs === undefined ? [] : [afterMs])),
     };
--- a/lab/torture/torture-load.ts
+++ b/lab/torture/torture-load.ts
@@ -1,4 +1,4 @@
-/** The load of a torture seed: programs one after the other in several places, some on tight budgets. */
+/** The load of a torture seed: concurrent workers that run programs, some with tight budgets. */
 import type { ProgramClient } from '../../src/client/index.js';
 import { SeededRandom } from '../../src/common/index.js';
 import type { Fleet } from '../fleet/fleet.js';
@@ -8,14 +8,14 @@
 import { Workload } from '../workload/workload.js';
 import type { HistoryRecorder } from './history-recorder.js';
 
-/** Wall-clock time of one unit of the engines' model time. */
+/** Wall-clock time per unit of model time of the engines. */
 export const TORTURE_TIME_SCALE = 0.06;
 const SIZE_SCALE = 0.25;
-const WORKERS = 12;
-const PATIENCE_MS = 25_000;
-const SILENCE_MS = 6_000;
-const TIGHT_BUDGET_SHARE = 0.3;
-const TIGHT_BUDGET = [1_500, 9_000] as const;
+const WORKER_COUNT = 12;
+const CALL_TIMEOUT_MS = 25_000;
+const SILENCE_TIMEOUT_MS = 6_000;
+const TIGHT_BUDGET_PROBABILITY = 0.3;
+const TIGHT_BUDGET_RANGE = [1_500, 9_000] as const;
 
 export class TortureLoad {
   private readonly workload: Workload;
@@ -38,24 +38,24 @@
     });
     this.random = new SeededRandom(seed);
     this.clients = createGatewayClients(fleet, {
-      patienceMs: PATIENCE_MS,
-      silenceMs: SILENCE_MS,
+      patienceMs: CALL_TIMEOUT_MS,
+      silenceMs: SILENCE_TIMEOUT_MS,
       onExchange: (exchange) => recorder.recordExchange(exchange),
     });
   }
 
   start(): void {
-    this.workers = Array.from({ length: WORKERS }, (_, index) => this.work(index));
+    this.workers = Array.from({ length: WORKER_COUNT }, (_, index) => this.runWorker(index));
   }
 
-  /** Starts no more programs and waits for those under way. */
+  /** Starts no more programs and waits for running ones. */
   async stop(): Promise<void> {
     this.isStopping = true;
     await Promise.all(this.workers);
     await closeClients(this.clients);
   }
 
-  private async work(index: number): Promise<void> {
+  private async runWorker(index: number): Promise<void> {
     const pool = this.clients[index % this.clients.length]!;
     while (!this.isStopping) {
       const plan = this.nextPlan();
@@ -66,7 +66,7 @@
 
   private nextPlan(): ProgramPlan {
     const plan = this.workload.nextProgram();
-    if (!this.random.chance(TIGHT_BUDGET_SHARE)) return plan;
-    return { ...plan, budget: this.random.integer(...TIGHT_BUDGET) };
+    if (!this.random.chance(TIGHT_BUDGET_PROBABILITY)) return plan;
+    return { ...plan, budget: this.random.integer(...TIGHT_BUDGET_RANGE) };
   }
 }
--- a/lab/torture/torture-report.ts
+++ b/lab/torture/torture-report.ts
@@ -1,4 +1,4 @@
-/** Adds up the seeds of a torture run. */
+/** Aggregates the results of all seeds of a torture run. */
 import { type Percentiles, computePercentiles } from '../load/percentiles.js';
 import type { SeedResult } from './seed-run.js';
 
@@ -16,11 +16,11 @@
   inconclusive: number;
   /** How often each fault was injected. */
   faultsInjected: Record<string, number>;
-  /** How often each promise was put to the test, over all seeds. */
+  /** Number of tests of each invariant over all seeds. */
   checks: Record<string, number>;
-  /** In how many seeds each promise was tested at all. */
+  /** Number of seeds in which each invariant was tested at least once. */
   seedsTesting: Record<string, number>;
-  /** Longest wait of a caller in seeds with this fault alone, in milliseconds. */
+  /** Longest wait of a caller in seeds with only this fault, in milliseconds. */
   unavailableMs: Record<string, Percentiles>;
   inForceMs: Percentiles;
   calls: number;
@@ -47,9 +47,9 @@
     seedsRun: results.length,
     violations: violating.reduce((sum, { check }) => sum + check.violations.length, 0),
     inconclusive: inconclusive.length,
-    faultsInjected: count(results.flatMap((result) => result.faults)),
-    checks: addUp(results.map((result) => result.check.tested)),
-    seedsTesting: addUp(results.map(({ check }) => testedAtAll(check.tested))),
+    faultsInjected: countByName(results.flatMap((result) => result.faults)),
+    checks: sumByKey(results.map((result) => result.check.tested)),
+    seedsTesting: sumByKey(results.map(({ check }) => countTestedOnce(check.tested))),
     unavailableMs: waitsByFault(results),
     inForceMs: computePercentiles(results.flatMap((result) => result.inForceMs)),
     calls: calls.length,
@@ -69,11 +69,11 @@
   };
 }
 
-function count(names: readonly string[]): Record<string, number> {
-  return addUp(names.map((name) => ({ [name]: 1 })));
+function countByName(names: readonly string[]): Record<string, number> {
+  return sumByKey(names.map((name) => ({ [name]: 1 })));
 }
 
-function addUp(parts: readonly Record<string, number>[]): Record<string, number> {
+function sumByKey(parts: readonly Record<string, number>[]): Record<string, number> {
   const sums: Record<string, number> = {};
   for (const part of parts) {
     for (const [name, value] of Object.entries(part)) sums[name] = (sums[name] ?? 0) + value;
@@ -81,7 +81,7 @@
   return sums;
 }
 
-function testedAtAll(tested: Record<string, number>): Record<string, number> {
+function countTestedOnce(tested: Record<string, number>): Record<string, number> {
   const entries = Object.entries(tested);
   return Object.fromEntries(entries.map(([name, times]) => [name, times > 0 ? 1 : 0]));
 }
