--- a/lab/cli/bench-command.ts
+++ b/lab/cli/bench-command.ts
@@ -1,4 +1,4 @@
-/** `bench`: policies side by side, on the same seeds and loads. */
+/** `bench` command: compares policies on the same seeds and loads. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { LedgegaugeError } from '../../src/common/index.js';
@@ -23,7 +23,7 @@
 export async function runBench(flags: BenchFlags): Promise<void> {
   const { deployment: name, output } = flags;
   const deployment = findDeployment(name);
-  const loads = readLoads(flags.loads);
+  const loads = parseLoads(flags.loads);
   const { fleet, close } = await startTemporaryFleet(
     'bench',
     benchFleet(deployment, flags.firstSeed),
@@ -39,29 +39,32 @@
   const report = reportBench(name, result);
   mkdirSync(output, { recursive: true });
   writeFileSync(join(output, `bench-${name}.json`), `${JSON.stringify(report, null, 2)}\n`);
-  process.stdout.write(`${flags.json ? JSON.stringify(report) : benchTable(report)}\n`);
+  process.stdout.write(`${flags.json ? JSON.stringify(report) : formatBenchReport(report)}\n`);
 }
 
-function readLoads(text: string): number[] {
+function parseLoads(text: string): number[] {
   const loads = String(text).split(',').map(Number);
   if (loads.every((load) => load > 0)) return loads;
-  throw new LedgegaugeError('--loads takes shares of capacity, for example 0.6,0.9', {
-    step: 'cli.usage',
-  });
+  throw new LedgegaugeError(
+    '--loads must be positive fractions of the capacity, for example 0.6,0.9',
+    {
+      step: 'cli.usage',
+    },
+  );
 }
 
-function benchTable(report: BenchReport): string {
-  const rows = report.policies.map((figures) => [
-    `${figures.load}`,
-    figures.policy,
-    formatMs(figures.programLatencyMs.p50),
-    formatMs(figures.programLatencyMs.p95),
-    formatShare(figures.wastedCacheShare.recomputed),
-    formatShare(figures.wastedCacheShare.heldUnused),
-    formatShare(figures.wastedCacheShare.heldAfterEnd),
-    formatMs(figures.serviceCallP99Ms),
-    figures.goodput.toFixed(1),
-    formatShare(figures.completedShare),
+function formatBenchReport(report: BenchReport): string {
+  const rows = report.policies.map((stats) => [
+    `${stats.load}`,
+    stats.policy,
+    formatMs(stats.programLatencyMs.p50),
+    formatMs(stats.programLatencyMs.p95),
+    formatShare(stats.wastedCacheShare.recomputed),
+    formatShare(stats.wastedCacheShare.heldUnused),
+    formatShare(stats.wastedCacheShare.heldAfterEnd),
+    formatMs(stats.serviceCallP99Ms),
+    stats.goodput.toFixed(1),
+    formatShare(stats.completedShare),
   ]);
   const ratios = report.ratios.map((ratio) => [
     `${ratio.load}`,
--- a/lab/cli/demo-command.ts
+++ b/lab/cli/demo-command.ts
@@ -1,4 +1,4 @@
-/** `demo`: the main job end to end: a fleet, a seeded workload, every answer checked, a table. */
+/** `demo` command: starts a fleet, runs a seeded workload, verifies every answer and prints a summary. */
 import { findDeployment } from '../fleet/topology.js';
 import { readBackendRecords } from '../load/backend-records.js';
 import { runLoad } from '../load/load-run.js';
@@ -17,8 +17,8 @@
 
 const TIME_SCALE = 0.15;
 const SIZE_SCALE = 1;
-const LOAD_MS = 25_000;
-const PATIENCE_MS = 20_000;
+const LOAD_DURATION_MS = 25_000;
+const CALL_TIMEOUT_MS = 20_000;
 const JOURNAL_GROUPS = 4;
 
 export interface DemoResult extends LoadSummary {
@@ -45,8 +45,8 @@
     sizeScale: SIZE_SCALE,
     programs: flags.programs,
     concurrency: flags.concurrency,
-    durationMs: LOAD_MS,
-    patienceMs: PATIENCE_MS,
+    durationMs: LOAD_DURATION_MS,
+    patienceMs: CALL_TIMEOUT_MS,
     onProgress: (started, finished) =>
       progress.update(finished, flags.programs, `${started} begun`),
   });
@@ -57,11 +57,11 @@
   const wallClockMs = Math.round(performance.now() - startedAt);
   const { deployment, seed } = flags;
   const result: DemoResult = { deployment, seed, processes, wallClockMs, ...summary };
-  process.stdout.write(`${flags.json ? JSON.stringify(result) : demoTable(result)}\n`);
-  process.exitCode = isClean(result) ? 0 : 1;
+  process.stdout.write(`${flags.json ? JSON.stringify(result) : formatDemoResult(result)}\n`);
+  process.exitCode = isSuccessful(result) ? 0 : 1;
 }
 
-function isClean(result: DemoResult): boolean {
+function isSuccessful(result: DemoResult): boolean {
   return (
     result.programs > 0 &&
     result.programsCompleted === result.programs &&
@@ -72,7 +72,7 @@
   );
 }
 
-function demoTable(result: DemoResult): string {
+function formatDemoResult(result: DemoResult): string {
   const rows = Object.entries(result.programLatencyMsByClass).map(([name, latency]) => [
     name,
     String(latency.count),
--- a/lab/cli/fleet-command.ts
+++ b/lab/cli/fleet-command.ts
@@ -1,4 +1,4 @@
-/** `fleet up`, `fleet status`, `fleet down`. */
+/** `fleet` command: starts a fleet, prints its status, or stops it. */
 import { existsSync, mkdirSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { request } from 'undici';
@@ -40,23 +40,23 @@
 const STATE_FOLDER = '.ledgegauge';
 const STATE_FILE = join(STATE_FOLDER, 'fleet.json');
 const JOURNAL_GROUPS = 4;
-const DOWN_POLL_MS = 100;
+const STOP_POLL_INTERVAL_MS = 100;
 const PROBE_TIMEOUT_MS = 1_000;
 
 export async function runFleet(action: string, flags: FleetFlags): Promise<void> {
   switch (action) {
     case 'up':
-      return fleetUp(flags);
+      return startFleet(flags);
     case 'status':
-      return fleetStatus();
+      return printStatus();
     case 'down':
-      return fleetDown();
+      return stopFleet();
     default:
-      throw new LedgegaugeError('fleet takes up, status or down', { step: 'cli.usage' });
+      throw new LedgegaugeError('fleet action must be up, status or down', { step: 'cli.usage' });
   }
 }
 
-async function fleetUp(flags: FleetFlags): Promise<void> {
+async function startFleet(flags: FleetFlags): Promise<void> {
   const progress = createProgress('starting', false);
   const { fleet, workFolder } = await startTemporaryFleet('fleet', {
     deployment: findDeployment(flags.deployment),
@@ -71,21 +71,21 @@
     rmSync(STATE_FILE, { force: true });
     removeWorkFolder(workFolder);
   });
-  process.stdout.write(`${await statusTable(readState())}\n`);
-  process.stdout.write('running; Ctrl-C takes it down\n');
-  // The signal handlers end the process.
+  process.stdout.write(`${await formatStatus(readState())}\n`);
+  process.stdout.write('fleet is running; press Ctrl-C to stop it\n');
+  // Waits until a signal handler exits the process.
   await new Promise(() => undefined);
 }
 
-async function fleetStatus(): Promise<void> {
+async function printStatus(): Promise<void> {
   const state = readState();
-  process.stdout.write(`${await statusTable(state)}\n`);
+  process.stdout.write(`${await formatStatus(state)}\n`);
 }
 
-async function fleetDown(): Promise<void> {
+async function stopFleet(): Promise<void> {
   const { pid } = readState();
   process.kill(pid, 'SIGTERM');
-  while (existsSync(STATE_FILE)) await sleep(DOWN_POLL_MS);
+  while (existsSync(STATE_FILE)) await sleep(STOP_POLL_INTERVAL_MS);
   process.stdout.write('down\n');
 }
 
@@ -117,12 +117,12 @@
 
 function readState(): FleetState {
   if (!existsSync(STATE_FILE)) {
-    throw new LedgegaugeError('no fleet is up in this folder', { step: 'cli.usage' });
+    throw new LedgegaugeError('no fleet is running in this folder', { step: 'cli.usage' });
   }
   return JSON.parse(readFileSync(STATE_FILE, 'utf8')) as FleetState;
 }
 
-async function statusTable(state: FleetState): Promise<string> {
+async function formatStatus(state: FleetState): Promise<string> {
   const rows = await Promise.all(
     state.processes.map(async (process) => [
       process.name,
@@ -130,7 +130,7 @@
       process.zone,
       String(process.pid ?? '-'),
       process.address,
-      await probe(process),
+      await probeProcess(process),
     ]),
   );
   return [
@@ -142,7 +142,7 @@
   ].join('\n');
 }
 
-async function probe(process: FleetProcessState): Promise<string> {
+async function probeProcess(process: FleetProcessState): Promise<string> {
   const hasStatusPage = process.statusAddress !== undefined;
   const url = hasStatusPage
     ? `http://${process.statusAddress}/readyz`
--- a/lab/cli/interrupt.ts
+++ b/lab/cli/interrupt.ts
@@ -1,21 +1,21 @@
-/** Takes a fleet down when the tool is interrupted. */
+/** Stops the fleet when the command is interrupted. */
 import type { Fleet } from '../fleet/fleet.js';
 
-const EXIT_INTERRUPTED = 130;
+const EXIT_CODE_INTERRUPTED = 130;
 
-/** On Ctrl-C or SIGTERM: takes the fleet down; a second time: kills it at once. */
-export function stopFleetOnSignal(current: () => Fleet | undefined): void {
+/** Stops the fleet on SIGINT or SIGTERM; a second signal kills it immediately. */
+export function stopFleetOnSignal(currentFleet: () => Fleet | undefined): void {
   let isStopping = false;
   const onSignal = (): void => {
-    const fleet = current();
+    const fleet = currentFleet();
     if (isStopping || !fleet) {
       fleet?.killAll();
-      process.exit(EXIT_INTERRUPTED);
+      process.exit(EXIT_CODE_INTERRUPTED);
     }
     isStopping = true;
-    void fleet.down().finally(() => process.exit(EXIT_INTERRUPTED));
+    void fleet.down().finally(() => process.exit(EXIT_CODE_INTERRUPTED));
   };
   process.on('SIGINT', onSignal);
   process.on('SIGTERM', onSignal);
-  process.on('exit', () => current()?.killAll());
+  process.on('exit', () => currentFleet()?.killAll());
 }
--- a/lab/cli/load-command.ts
+++ b/lab/cli/load-command.ts
@@ -1,4 +1,4 @@
-/** `load`: a seeded workload on a fleet of its own, open or closed loop, with its figures. */
+/** `load` command: runs a seeded workload on a temporary fleet, with open or closed loop. */
 import { findDeployment } from '../fleet/topology.js';
 import { readBackendRecords } from '../load/backend-records.js';
 import { runLoad } from '../load/load-run.js';
@@ -11,7 +11,7 @@
   deployment: string;
   seed: number;
   seconds: number;
-  /** Programs a second; without it, the loop is closed. */
+  /** Programs per second (open loop); if absent, the loop is closed. */
   rate?: number;
   concurrency: number;
   timeScale: number;
@@ -20,7 +20,7 @@
 
 const JOURNAL_GROUPS = 4;
 const SIZE_SCALE = 1;
-const PATIENCE_MS = 30_000;
+const CALL_TIMEOUT_MS = 30_000;
 const MS_PER_SECOND = 1_000;
 
 export async function runLoadCommand(flags: LoadFlags): Promise<void> {
@@ -40,17 +40,17 @@
     concurrency,
     ratePerSecond: rate,
     durationMs: flags.seconds * MS_PER_SECOND,
-    patienceMs: PATIENCE_MS,
+    patienceMs: CALL_TIMEOUT_MS,
     onProgress: (started, finished) => progress.update(finished, started, 'programs'),
   });
   const summary = summarizeLoad(recorder, await readBackendRecords(fleet));
   await close();
   progress.stop();
-  process.stdout.write(`${flags.json ? JSON.stringify(summary) : loadTable(summary)}\n`);
+  process.stdout.write(`${flags.json ? JSON.stringify(summary) : formatLoadSummary(summary)}\n`);
   process.exitCode = summary.callsWrong + summary.callsLost > 0 ? 1 : 0;
 }
 
-function loadTable(summary: LoadSummary): string {
+function formatLoadSummary(summary: LoadSummary): string {
   const { programLatencyMs, firstTokenMs, serviceCallMs } = summary;
   const rows = (
     [
--- a/lab/cli/progress.ts
+++ b/lab/cli/progress.ts
@@ -1,4 +1,4 @@
-/** Progress of long work, shown on standard error when people watch. */
+/** Progress bar on standard error, shown only on a terminal. */
 import { Presets, SingleBar } from 'cli-progress';
 
 export interface Progress {
--- a/lab/cli/report-command.ts
+++ b/lab/cli/report-command.ts
@@ -1,4 +1,4 @@
-/** `report`: one Markdown page with plots from the JSON files of earlier runs. */
+/** `report` command: generates a Markdown page with plots from the JSON files of earlier runs. */
 import { existsSync, mkdirSync, readFileSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { LedgegaugeError } from '../../src/common/index.js';
@@ -15,7 +15,6 @@
 
 interface Section {
   title: string;
-  /** File name and content of the plot. */
   plots: { file: string; svg: string }[];
 }
 
@@ -25,7 +24,7 @@
     ...tortureSections(readJson<TortureReport>(flags.input, `torture-${deployment}.json`)),
   ]);
   if (sections.length === 0) {
-    throw new LedgegaugeError('no bench-*.json or torture-*.json there', {
+    throw new LedgegaugeError('input folder has no bench-*.json or torture-*.json file', {
       step: 'cli.usage',
       peer: flags.input,
     });
@@ -100,7 +99,7 @@
   const { deployment, unavailableMs } = report;
   const bars = Object.entries(unavailableMs)
     .sort(([, left], [, right]) => right.p50 - left.p50)
-    .map(([fault, wait]) => ({ label: fault, value: wait.p50, isOurs: true }));
+    .map(([fault, waitTimes]) => ({ label: fault, value: waitTimes.p50, isOurs: true }));
   const group = { title: 'median over seeds with this fault alone, ms', bars };
   const svg = drawBarChart(`${deployment}: longest wait of a caller`, [group]);
   return [
--- a/lab/cli/slopes-command.ts
+++ b/lab/cli/slopes-command.ts
@@ -1,4 +1,4 @@
-/** `slopes`: how processor time, memory and bytes of each role grow with what drives them. */
+/** `slopes` command: measures how processor time, memory and bytes of each role grow with load. */
 import { existsSync, mkdirSync, readFileSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { LedgegaugeError } from '../../src/common/index.js';
@@ -23,9 +23,9 @@
   keptTurnsExperiment,
   gatewayExperiment,
 ];
-/** A line that explains less, or bends more, is called out. */
-const GOOD_R_SQUARED = 0.95;
-const BEND_LIMIT = 1.6;
+/** Fits with a lower R² or a stronger bend are marked in the table. */
+const MIN_R_SQUARED = 0.95;
+const MAX_BEND = 1.6;
 
 export async function runSlopes(flags: SlopesFlags): Promise<void> {
   const slopes: Slope[] = [];
@@ -39,21 +39,21 @@
   const file = join(flags.output, 'slopes.json');
   const all = flags.only === 'all' ? slopes : replaceSlopes(readSlopes(file), slopes);
   writeFileSync(file, `${JSON.stringify({ slopes: all }, null, 2)}\n`);
-  writeFileSync(join(flags.output, 'slopes.svg'), drawScatterPlots(all.map(plotOf)));
-  const text = flags.json ? JSON.stringify({ slopes }) : slopesTable(slopes);
+  writeFileSync(join(flags.output, 'slopes.svg'), drawScatterPlots(all.map(toScatterPlot)));
+  const text = flags.json ? JSON.stringify({ slopes }) : formatSlopes(slopes);
   process.stdout.write(`${text}\n`);
 }
 
-/** What earlier runs measured. */
+/** Reads the results of earlier runs. */
 function readSlopes(file: string): Slope[] {
   if (!existsSync(file)) return [];
   return (JSON.parse(readFileSync(file, 'utf8')) as { slopes: Slope[] }).slopes;
 }
 
-/** Puts new measurements in the place of old ones of the same name. */
-function replaceSlopes(old: readonly Slope[], fresh: readonly Slope[]): Slope[] {
-  const names = new Set(fresh.map((slope) => slope.name));
-  return [...old.filter((slope) => !names.has(slope.name)), ...fresh];
+/** Replaces earlier slopes by new ones of the same name. */
+function replaceSlopes(previous: readonly Slope[], current: readonly Slope[]): Slope[] {
+  const names = new Set(current.map((slope) => slope.name));
+  return [...previous.filter((slope) => !names.has(slope.name)), ...current];
 }
 
 function selectExperiments(only: string): readonly SlopeExperiment[] {
@@ -62,29 +62,31 @@
     const found = EXPERIMENTS.find((experiment) => experiment.name === name);
     if (found) return found;
     const known = EXPERIMENTS.map((experiment) => experiment.name).join(', ');
-    throw new LedgegaugeError(`no experiment ${name}; there are: ${known}`, { step: 'cli.usage' });
+    throw new LedgegaugeError(`unknown experiment ${name}; available experiments: ${known}`, {
+      step: 'cli.usage',
+    });
   });
 }
 
-function plotOf(slope: Slope): Parameters<typeof drawScatterPlots>[0][number] {
+function toScatterPlot(slope: Slope): Parameters<typeof drawScatterPlots>[0][number] {
   const { name, driver, quantity, points, fit } = slope;
   return { title: name, xLabel: driver, yLabel: quantity, points, line: fit };
 }
 
-function slopesTable(slopes: readonly Slope[]): string {
+function formatSlopes(slopes: readonly Slope[]): string {
   const rows = slopes.map(({ name, quantity, driver, fit }) => [
     name,
     fit.slope.toPrecision(3),
     fit.intercept.toPrecision(3),
     fit.rSquared.toFixed(3),
-    remarkOn(fit),
+    describeFit(fit),
     `${quantity} for each of ${driver}`,
   ]);
   return formatTable(['slope', 'per unit', 'at zero', 'R2', 'line', 'of'], rows);
 }
 
-function remarkOn({ rSquared, bend }: Slope['fit']): string {
-  if (bend > BEND_LIMIT) return `bends up ${bend.toFixed(1)}`;
-  if (bend < 1 / BEND_LIMIT) return `bends down ${bend.toFixed(1)}`;
-  return rSquared >= GOOD_R_SQUARED ? 'straight' : 'scattered';
+function describeFit({ rSquared, bend }: Slope['fit']): string {
+  if (bend > MAX_BEND) return `bends up ${bend.toFixed(1)}`;
+  if (bend < 1 / MAX_BEND) return `bends down ${bend.toFixed(1)}`;
+  return rSquared >= MIN_R_SQUARED ? 'straight' : 'scattered';
 }
--- a/lab/cli/table.ts
+++ b/lab/cli/table.ts
@@ -1,6 +1,6 @@
 /** Plain text tables. */
 
-/** Formats rows under a header, columns as wide as their widest cell. */
+/** Formats rows below a header; each column is as wide as its widest cell. */
 export function formatTable(header: string[], rows: string[][]): string {
   const widths = header.map((title, column) =>
     Math.max(title.length, ...rows.map((row) => (row[column] ?? '').length)),
--- a/lab/cli/temporary-fleet.ts
+++ b/lab/cli/temporary-fleet.ts
@@ -1,4 +1,4 @@
-/** A fleet of a tool's own: in a folder of its own, taken down also when the tool is interrupted. */
+/** Fleet of one command run, in a temporary folder; also stopped when the command is interrupted. */
 import { Fleet, type FleetOptions } from '../fleet/fleet.js';
 import { stopFleetOnSignal } from './interrupt.js';
 import { createWorkFolder, removeWorkFolder } from './work-folder.js';
@@ -6,23 +6,23 @@
 export interface TemporaryFleet {
   fleet: Fleet;
   workFolder: string;
-  /** Takes the fleet down and removes its folder. */
+  /** Stops the fleet and removes its folder. */
   close(): Promise<void>;
 }
 
-/** @param purpose names the folder */
+/** @param purpose part of the folder's name */
 export async function startTemporaryFleet(
   purpose: string,
   options: Omit<FleetOptions, 'workFolder' | 'onCreated'>,
 ): Promise<TemporaryFleet> {
-  const running: { fleet?: Fleet } = {};
-  stopFleetOnSignal(() => running.fleet);
+  const current: { fleet?: Fleet } = {};
+  stopFleetOnSignal(() => current.fleet);
   const workFolder = createWorkFolder(purpose);
   const fleet = await Fleet.up({
     ...options,
     workFolder,
     onCreated: (created) => {
-      running.fleet = created;
+      current.fleet = created;
     },
   });
   return {
--- a/lab/cli/torture-command.ts
+++ b/lab/cli/torture-command.ts
@@ -1,4 +1,4 @@
-/** `torture`: seeded faults over a live fleet under load, and a checker that decides. */
+/** `torture` command: injects seeded faults into a fleet under load and checks invariants. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { findDeployment } from '../fleet/topology.js';
@@ -43,7 +43,7 @@
     const startedAt = performance.now();
     const result = await new SeedRun(fleet, records, seed, schedule).run();
     results.push(result);
-    reportSeed(result, performance.now() - startedAt, flags);
+    printSeedResult(result, performance.now() - startedAt, flags);
   }
   progress.stop();
   const report = summarizeTorture(flags.deployment, flags.firstSeed, results);
@@ -51,13 +51,13 @@
     await close();
   } else {
     await fleet.down();
-    process.stderr.write(`logs are kept in ${workFolder}\n`);
+    process.stderr.write(`logs remain in ${workFolder}\n`);
   }
-  process.stdout.write(`${flags.json ? JSON.stringify(report) : tortureTable(report)}\n`);
+  process.stdout.write(`${flags.json ? JSON.stringify(report) : formatTortureReport(report)}\n`);
   process.exitCode = report.violations > 0 ? 1 : 0;
 }
 
-function reportSeed(result: SeedResult, elapsedMs: number, flags: TortureFlags): void {
+function printSeedResult(result: SeedResult, elapsedMs: number, flags: TortureFlags): void {
   const { seed, faults, check, inconclusive } = result;
   const verdict = check.violations.length > 0 ? 'VIOLATION' : inconclusive ? 'unclear' : 'ok';
   const details = [
@@ -69,33 +69,33 @@
     `seed ${seed} ${verdict} ${seconds} s, ${result.history.calls.length} calls, ` +
       `${faults.join(' + ')}${details.map((detail) => `\n    ${detail}`).join('')}\n`,
   );
-  // Histories are large; those of good seeds are not needed again.
+  // Histories are large: only those with violations are stored.
   if (check.violations.length > 0 && flags.keep) {
     mkdirSync(flags.keep, { recursive: true });
     writeFileSync(join(flags.keep, `seed-${seed}.json`), JSON.stringify(result.history));
   }
 }
 
-function tortureTable(report: TortureReport): string {
-  const waits = Object.entries(report.unavailableMs).map(([fault, wait]) => [
+function formatTortureReport(report: TortureReport): string {
+  const waitRows = Object.entries(report.unavailableMs).map(([fault, waitTimes]) => [
     fault,
-    String(wait.count),
-    formatMs(wait.p50),
-    formatMs(wait.p95),
-    formatMs(wait.max),
+    String(waitTimes.count),
+    formatMs(waitTimes.p50),
+    formatMs(waitTimes.p95),
+    formatMs(waitTimes.max),
   ]);
-  const checks = Object.entries(report.checks).map(([promise, times]) => [
+  const checkRows = Object.entries(report.checks).map(([promise, checkCount]) => [
     promise,
-    String(times),
+    String(checkCount),
     String(report.seedsTesting[promise]),
   ]);
   return [
     `${report.deployment}: ${report.seedsRun} seeds from ${report.firstSeed}, ` +
       `${report.violations} violations, ${report.inconclusive} inconclusive`,
     '',
-    formatTable(['promise', 'checks', 'seeds'], checks),
+    formatTable(['promise', 'checks', 'seeds'], checkRows),
     '',
-    formatTable(['longest wait with', 'seeds', 'p50', 'p95', 'max'], waits),
+    formatTable(['longest wait with', 'seeds', 'p50', 'p95', 'max'], waitRows),
     '',
     `in force p50 ${formatMs(report.inForceMs.p50)}, p99 ${formatMs(report.inForceMs.p99)}`,
   ].join('\n');
--- a/lab/cli/work-folder.ts
+++ b/lab/cli/work-folder.ts
@@ -1,9 +1,8 @@
-/** Folders in which runs keep settings, logs and data. */
+/** Temporary folders for the settings, logs and data of runs. */
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 
-/** Makes a folder for one run. */
 export function createWorkFolder(purpose: string): string {
   return mkdtempSync(join(tmpdir(), `ledgegauge-${purpose}-`));
 }
