--- a/lab/slopes/control-fleet.ts
+++ b/lab/slopes/control-fleet.ts
@@ -1,4 +1,4 @@
-/** A real control group without back ends, for measuring it; and its processes' meters. */
+/** Real control group without backends, for measuring the resource usage of its processes. */
 import { createWorkFolder, removeWorkFolder } from '../cli/work-folder.js';
 import { Fleet } from '../fleet/fleet.js';
 import type { Deployment } from '../fleet/topology.js';
@@ -7,7 +7,7 @@
 
 const ZONES = ['region-1-zone-1', 'region-2-zone-1', 'region-3-zone-1'];
 
-/** Control processes and, because a fleet has one a zone, idle gateways. */
+/** Control processes and idle gateways, because a fleet has one gateway per zone. */
 const CONTROL_ONLY: Omit<Deployment, 'zones' | 'controlZones'> = {
   name: 'pipeline',
   engines: { name: 'none', count: 0 },
@@ -20,7 +20,7 @@
 };
 
 export interface ResourceCounters {
-  /** Processor seconds so far. */
+  /** Processor time used so far, in seconds. */
   cpuSeconds: number;
   logBytes: number;
   logSyncs: number;
@@ -80,19 +80,19 @@
   }
 }
 
-/** How a meter grew, per second. */
+/** Rates per second between two readings. */
 export function ratesPerSecond(
   before: ResourceCounters,
   after: ResourceCounters,
   elapsedMs: number,
 ): ResourceCounters {
   const seconds = elapsedMs / 1_000;
-  const rate = (read: (meter: ResourceCounters) => number): number =>
+  const rate = (read: (counters: ResourceCounters) => number): number =>
     (read(after) - read(before)) / seconds;
   return {
-    cpuSeconds: rate((meter) => meter.cpuSeconds),
-    logBytes: rate((meter) => meter.logBytes),
-    logSyncs: rate((meter) => meter.logSyncs),
-    peerBytes: rate((meter) => meter.peerBytes),
+    cpuSeconds: rate((counters) => counters.cpuSeconds),
+    logBytes: rate((counters) => counters.logBytes),
+    logSyncs: rate((counters) => counters.logSyncs),
+    peerBytes: rate((counters) => counters.peerBytes),
   };
 }
--- a/lab/slopes/gateway-experiment.ts
+++ b/lab/slopes/gateway-experiment.ts
@@ -1,4 +1,4 @@
-/** What calls, streamed tokens and questions for load cost a gateway. */
+/** Measures the cost of calls, streamed tokens and load polls for a gateway. */
 import { type Server, type Socket, connect, createServer } from 'node:net';
 import type { AddressInfo } from 'node:net';
 import { LoadFetcher } from '../../src/backends/index.js';
@@ -13,7 +13,7 @@
 import type { Point } from './linear-fit.js';
 import { type SlopeExperiment, createSlope } from './slope.js';
 
-const ONE_GATEWAY: Deployment = {
+const SINGLE_GATEWAY: Deployment = {
   name: 'pipeline',
   zones: ['zone-1'],
   controlZones: ['zone-1', 'zone-1', 'zone-1'],
@@ -26,13 +26,13 @@
   clientDelayMs: 0,
 };
 const TIME_SCALE = 0.02;
-const WORKERS = [1, 2, 4, 8, 12];
+const WORKER_COUNTS = [1, 2, 4, 8, 12];
 const TOKEN_LIMITS = [8, 32, 128, 512];
 const TOKEN_WORKERS = 4;
-const MEASURE_MS = 4_000;
+const MEASUREMENT_MS = 4_000;
 const POLL_RATES = [100, 200, 400, 800];
 const POLL_COUNTS = [10, 20, 40, 80];
-const POLL_MS = 2_000;
+const POLL_MEASUREMENT_MS = 2_000;
 const MS_PER_SECOND = 1_000;
 
 interface LoadResult {
@@ -45,20 +45,20 @@
   name: 'gateway',
   async run(report) {
     const workFolder = createWorkFolder('slopes');
-    const options = { deployment: ONE_GATEWAY, workFolder, timeScale: TIME_SCALE };
+    const options = { deployment: SINGLE_GATEWAY, workFolder, timeScale: TIME_SCALE };
     const fleet = await Fleet.up({ ...options, journalGroups: 4, seed: 1 });
     const calls: Point[] = [];
-    for (const workers of WORKERS) {
+    for (const workers of WORKER_COUNTS) {
       report(`${workers} callers`);
-      const result = await drive(fleet, workers, TOKEN_LIMITS[0]!);
+      const result = await runWorkers(fleet, workers, TOKEN_LIMITS[0]!);
       calls.push({ x: result.callsPerSecond, y: result.gatewayCpuMs });
     }
     const tokens: Point[] = [];
     for (const maxTokens of TOKEN_LIMITS) {
       report(`answers of up to ${maxTokens} tokens`);
-      const result = await drive(fleet, TOKEN_WORKERS, maxTokens);
-      const perCall = result.gatewayCpuMs / result.callsPerSecond;
-      tokens.push({ x: result.tokensPerSecond / result.callsPerSecond, y: perCall });
+      const result = await runWorkers(fleet, TOKEN_WORKERS, maxTokens);
+      const processorMsPerCall = result.gatewayCpuMs / result.callsPerSecond;
+      tokens.push({ x: result.tokensPerSecond / result.callsPerSecond, y: processorMsPerCall });
     }
     const polls = await measurePolls(fleet, report);
     const bytes = await measurePollBytes(fleet);
@@ -101,15 +101,15 @@
   },
 };
 
-async function drive(fleet: Fleet, workers: number, maxTokens: number): Promise<LoadResult> {
+async function runWorkers(fleet: Fleet, workers: number, maxTokens: number): Promise<LoadResult> {
   const { clientGateways, tenantKeys } = fleet.plan;
   const client = new ProgramClient({ gateways: clientGateways, apiKey: tenantKeys['tenant-1']! });
   const [gateway] = fleet.ofKind('gateway');
   const counts = { calls: 0, tokens: 0 };
   const before = await readProcessCpuSeconds(gateway!.plan.statusAddress!);
   const startedAt = monotonicMs();
-  const work = async (worker: number): Promise<void> => {
-    while (monotonicMs() - startedAt < MEASURE_MS) {
+  const runWorker = async (worker: number): Promise<void> => {
+    while (monotonicMs() - startedAt < MEASUREMENT_MS) {
       const program = await client.openProgram({ model: 'model-1' });
       for (let call = 0; call < 4; call += 1) {
         const content = `worker ${worker} call ${counts.calls}`;
@@ -120,7 +120,7 @@
       await program.end();
     }
   };
-  await Promise.all(Array.from({ length: workers }, (_, index) => work(index)));
+  await Promise.all(Array.from({ length: workers }, (_, index) => runWorker(index)));
   const seconds = (monotonicMs() - startedAt) / MS_PER_SECOND;
   const after = await readProcessCpuSeconds(gateway!.plan.statusAddress!);
   await client.close();
@@ -133,14 +133,14 @@
 
 async function measurePolls(fleet: Fleet, report: (step: string) => void): Promise<Point[]> {
   const fetcher = new LoadFetcher((address) => address);
-  const backends = enginesOf(fleet);
+  const backends = createEngineBackends(fleet);
   const points: Point[] = [];
   for (const rate of POLL_RATES) {
     report(`${rate} questions for load a second`);
     const startedAt = monotonicMs();
     const cpuBefore = process.cpuUsage();
     const running: Promise<unknown>[] = [];
-    while (monotonicMs() - startedAt < POLL_MS) {
+    while (monotonicMs() - startedAt < POLL_MEASUREMENT_MS) {
       const due = ((monotonicMs() - startedAt) * rate) / MS_PER_SECOND;
       while (running.length < due) {
         running.push(fetcher.fetch(backends[running.length % backends.length]!));
@@ -157,39 +157,39 @@
 }
 
 async function measurePollBytes(fleet: Fleet): Promise<Point[]> {
-  const [engine] = enginesOf(fleet);
-  const counter = await ByteCounter.start(engine!.intent.address);
-  const fetcher = new LoadFetcher(() => counter.address);
+  const [engine] = createEngineBackends(fleet);
+  const proxy = await CountingProxy.start(engine!.intent.address);
+  const fetcher = new LoadFetcher(() => proxy.address);
   await fetcher.fetch(engine!);
   const points: Point[] = [];
   for (const count of POLL_COUNTS) {
-    const before = counter.bytes;
+    const before = proxy.bytes;
     for (let index = 0; index < count; index += 1) await fetcher.fetch(engine!);
-    points.push({ x: count, y: counter.bytes - before });
+    points.push({ x: count, y: proxy.bytes - before });
   }
   await fetcher.close();
-  counter.stop();
+  proxy.stop();
   return points;
 }
 
-function enginesOf(fleet: Fleet): Backend[] {
+function createEngineBackends(fleet: Fleet): Backend[] {
   const { backends } = fleet.plan.intents;
   return backends.filter(({ kind }) => kind === 'engine').map((intent) => new Backend(intent, 1));
 }
 
-/** Carries connections to one address and counts what goes through, both ways. */
-class ByteCounter {
+/** TCP proxy that counts the bytes in both directions. */
+class CountingProxy {
   bytes = 0;
   private readonly sockets = new Set<Socket>();
 
   private constructor(private readonly server: Server) {}
 
-  static async start(target: string): Promise<ByteCounter> {
+  static async start(target: string): Promise<CountingProxy> {
     const server = createServer();
-    const counter = new ByteCounter(server);
-    server.on('connection', (client) => counter.carry(client, connect(parseAddress(target))));
+    const proxy = new CountingProxy(server);
+    server.on('connection', (client) => proxy.pipe(client, connect(parseAddress(target))));
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
-    return counter;
+    return proxy;
   }
 
   get address(): string {
@@ -201,7 +201,7 @@
     for (const socket of this.sockets) socket.destroy();
   }
 
-  private carry(client: Socket, target: Socket): void {
+  private pipe(client: Socket, target: Socket): void {
     for (const [from, to] of [
       [client, target],
       [target, client],
--- a/lab/slopes/journal-experiment.ts
+++ b/lab/slopes/journal-experiment.ts
@@ -1,4 +1,4 @@
-/** What calls cost the control processes, and what idle groups cost. */
+/** Measures the cost of calls and of idle groups for the control processes. */
 import { monotonicMs, sleep } from '../../src/common/index.js';
 import { GroupClient, PeerDirectory } from '../../src/consensus/index.js';
 import { JournalClient, createProgramId } from '../../src/journal/index.js';
@@ -9,13 +9,13 @@
 
 const CALL_RATES = [100, 200, 400, 800, 1_200];
 const GROUP_COUNTS = [8, 32, 64, 128];
-const MEASURE_MS = 4_000;
-const IDLE_MEASURE_MS = 3_000;
+const MEASUREMENT_MS = 4_000;
+const IDLE_MEASUREMENT_MS = 3_000;
 const TICK_MS = 10;
 const MS_PER_SECOND = 1_000;
 const MODEL = 'model-1';
 const TENANT = 'tenant-1';
-/** Tokens of one call's own messages and of its answer; 4 characters a token. */
+/** Message and answer of one call; 4 characters per token. */
 const MESSAGE_TEXT = 'x'.repeat(4 * 150);
 const ANSWER_TEXT = 'y'.repeat(4 * 100);
 const COMMAND_TIMEOUT_MS = 5_000;
@@ -40,18 +40,18 @@
         [leader, follower].map((name) => control.readCounters(name)),
       );
       const startedAt = monotonicMs();
-      const calls = await driveCalls(control, rate);
+      const calls = await runCalls(control, rate);
       const elapsedMs = monotonicMs() - startedAt;
       const after = await Promise.all([leader, follower].map((name) => control.readCounters(name)));
-      const [ofLeader, ofFollower] = before.map((meter, index) =>
-        ratesPerSecond(meter, after[index]!, elapsedMs),
+      const [leaderRates, followerRates] = before.map((counters, index) =>
+        ratesPerSecond(counters, after[index]!, elapsedMs),
       ) as [ResourceCounters, ResourceCounters];
       const x = (calls / elapsedMs) * MS_PER_SECOND;
-      points.leader.push({ x, y: ofLeader.cpuSeconds * MS_PER_SECOND });
-      points.follower.push({ x, y: ofFollower.cpuSeconds * MS_PER_SECOND });
-      points.disk.push({ x, y: ofLeader.logBytes });
-      points.syncs.push({ x, y: ofLeader.logSyncs });
-      points.network.push({ x, y: ofLeader.peerBytes });
+      points.leader.push({ x, y: leaderRates.cpuSeconds * MS_PER_SECOND });
+      points.follower.push({ x, y: followerRates.cpuSeconds * MS_PER_SECOND });
+      points.disk.push({ x, y: leaderRates.logBytes });
+      points.syncs.push({ x, y: leaderRates.logSyncs });
+      points.network.push({ x, y: leaderRates.peerBytes });
     }
     await control.down();
     const cpu = 'processor ms a second';
@@ -102,28 +102,30 @@
       await sleep(MS_PER_SECOND);
       const before = await Promise.all(names.map((name) => control.readCounters(name)));
       const startedAt = monotonicMs();
-      await sleep(IDLE_MEASURE_MS);
+      await sleep(IDLE_MEASUREMENT_MS);
       const elapsedMs = monotonicMs() - startedAt;
       const after = await Promise.all(names.map((name) => control.readCounters(name)));
-      const growths = before.map((meter, index) => ratesPerSecond(meter, after[index]!, elapsedMs));
-      const mean = (read: (meter: ResourceCounters) => number): number =>
-        growths.reduce((sum, growth) => sum + read(growth), 0) / growths.length;
-      cpu.push({ x: groups, y: mean((growth) => growth.cpuSeconds) * MS_PER_SECOND });
-      bytes.push({ x: groups, y: mean((growth) => growth.peerBytes) });
+      const memberRates = before.map((counters, index) =>
+        ratesPerSecond(counters, after[index]!, elapsedMs),
+      );
+      const mean = (read: (counters: ResourceCounters) => number): number =>
+        memberRates.reduce((sum, rates) => sum + read(rates), 0) / memberRates.length;
+      cpu.push({ x: groups, y: mean((rates) => rates.cpuSeconds) * MS_PER_SECOND });
+      bytes.push({ x: groups, y: mean((rates) => rates.peerBytes) });
       await control.down();
     }
     const driver = 'idle groups on each of three members';
-    const slope = (name: string, quantity: string, points: Point[]): Slope =>
+    const createGroupSlope = (name: string, quantity: string, points: Point[]): Slope =>
       createSlope({ name, role: 'control member', driver, quantity }, points);
     return [
-      slope('group.idle-cpu', 'processor ms a second', cpu),
-      slope('group.idle-bytes', 'bytes a second on own links', bytes),
+      createGroupSlope('group.idle-cpu', 'processor ms a second', cpu),
+      createGroupSlope('group.idle-bytes', 'bytes a second on own links', bytes),
     ];
   },
 };
 
-/** Opens programs and runs two calls in each at a steady rate; resolves with the calls made. */
-async function driveCalls(control: ControlFleet, ratePerSecond: number): Promise<number> {
+/** Opens programs of two calls each at a constant rate; returns the number of calls. */
+async function runCalls(control: ControlFleet, ratePerSecond: number): Promise<number> {
   const peers = new PeerDirectory({
     ownName: 'slopes',
     secret: control.secret,
@@ -135,15 +137,15 @@
   const running: Promise<void>[] = [];
   const programsPerMs = ratePerSecond / 2 / MS_PER_SECOND;
   const startedAt = monotonicMs();
-  let begun = 0;
-  while (monotonicMs() - startedAt < MEASURE_MS) {
+  let startedPrograms = 0;
+  while (monotonicMs() - startedAt < MEASUREMENT_MS) {
     const due = Math.floor((monotonicMs() - startedAt) * programsPerMs);
-    for (; begun < due; begun += 1) running.push(runProgram(journal));
+    for (; startedPrograms < due; startedPrograms += 1) running.push(runProgram(journal));
     await sleep(TICK_MS);
   }
   await Promise.all(running);
   peers.close();
-  return begun * 2;
+  return startedPrograms * 2;
 }
 
 async function runProgram(journal: JournalClient): Promise<void> {
--- a/lab/slopes/journal-memory-host.ts
+++ b/lab/slopes/journal-memory-host.ts
@@ -1,6 +1,8 @@
 /**
- * Fills a journal's state machine and prints what it takes; run by `state-experiment.ts` as a process
- * of its own, so that nothing else is in the heap. Arguments: programs, calls each, tokens a call.
+ * Fills a journal state machine and prints its memory usage. `state-experiment.ts` runs it as a
+ * separate process, so that the heap holds nothing else.
+ *
+ *     node journal-memory-host.js PROGRAMS CALLS_PER_PROGRAM TOKENS_PER_CALL
  */
 import { JournalStateMachine, type JournalCommand } from '../../src/journal/index.js';
 import { encodeValue } from '../../src/wire/index.js';
@@ -17,7 +19,7 @@
   number,
 ];
 const CHARACTERS_PER_TOKEN = 4;
-const ANSWER_SHARE = 0.3;
+const ANSWER_FRACTION = 0.3;
 const TENANT = 'tenant-1';
 
 const machine = new JournalStateMachine(() => undefined);
@@ -26,16 +28,16 @@
   machine.apply(encodeValue({ atMs: 1, command }));
 }
 
-function text(tokens: number, name: string): string {
+function createText(tokens: number, name: string): string {
   return name.padEnd(Math.round(tokens * CHARACTERS_PER_TOKEN), 'x');
 }
 
-function fillProgram(programId: string): void {
+function addProgram(programId: string): void {
   const base = { programId, tenant: TENANT };
   const limits = { maxCalls: 1_000, maxDepth: 1, maxRepeatedCalls: 8, idleTimeoutMs: 1e9 };
   apply({ type: 'open', ...base, model: 'm', budget: 1e9, deadlineMs: 1e9, limits });
   for (let sequence = 1; sequence <= callsEach; sequence += 1) {
-    const content = text(tokensPerCall * (1 - ANSWER_SHARE), `${programId}#${sequence}`);
+    const content = createText(tokensPerCall * (1 - ANSWER_FRACTION), `${programId}#${sequence}`);
     apply({
       type: 'begin',
       ...base,
@@ -53,7 +55,7 @@
       backend: 'engine-1',
       serviceCost: 0,
     });
-    const answer = text(tokensPerCall * ANSWER_SHARE, `answer ${programId}#${sequence}`);
+    const answer = createText(tokensPerCall * ANSWER_FRACTION, `answer ${programId}#${sequence}`);
     const outcome = 'completed' as const;
     const finish = { ...base, sequence, attempt: 1, outcome, answer, cost: 10, backends: [] };
     apply({ type: 'finish', finishReason: 'stop', ...finish });
@@ -61,12 +63,12 @@
 }
 
 globalThis.gc!();
-const emptyHeap = process.memoryUsage().heapUsed;
+const baselineHeapBytes = process.memoryUsage().heapUsed;
 for (let index = 0; index < programs; index += 1) {
-  fillProgram(`p${index.toString(16).padStart(24, '0')}`);
+  addProgram(`p${index.toString(16).padStart(24, '0')}`);
 }
 globalThis.gc!();
-const heapBytes = process.memoryUsage().heapUsed - emptyHeap;
+const heapBytes = process.memoryUsage().heapUsed - baselineHeapBytes;
 const startedAt = performance.now();
 const snapshotBytes = Buffer.concat([...machine.snapshot()]).length;
 const snapshotMs = performance.now() - startedAt;
--- a/lab/slopes/kept-turns-host.ts
+++ b/lab/slopes/kept-turns-host.ts
@@ -1,8 +1,8 @@
 /**
- * A process that keeps turns on disk as a journal does, and measures what they take: memory, disk,
- * the time of a start, and the time that a new member needs to fetch them over a loopback link.
+ * Stores kept turns on disk as a ledger member does, and measures their memory, disk space, recovery
+ * time, and the time that a new member needs to fetch them over a loopback link.
  *
- *     node kept-turns-host.js TURNS BYTES_EACH FOLDER
+ *     node kept-turns-host.js TURNS BYTES_PER_TURN FOLDER
  */
 import { join } from 'node:path';
 import { monotonicMs, sleep } from '../../src/common/index.js';
@@ -10,11 +10,11 @@
 import { ValueStore, openStoreFolder } from '../../src/value-store/index.js';
 import { MethodRouter, PeerLink, RpcServer, encodeValue } from '../../src/wire/index.js';
 import { SILENT_LOGGER } from '../silent-logger.js';
-import { usedBytes } from './used-bytes.js';
+import { measureUsedBytes } from './used-bytes.js';
 
-/** What was measured; times in milliseconds. */
-export interface KeptTurnsFigures {
-  /** Heap and buffers that all turns together take, less the cache. */
+/** Times are in milliseconds. */
+export interface KeptTurnsCost {
+  /** Heap and buffers used by all turns, without the cache. */
   memoryBytes: number;
   diskBytes: number;
   snapshotBytes: number;
@@ -50,42 +50,47 @@
 async function keepTurns({ values, state }: Member, turns: number, bytes: number): Promise<void> {
   for (let turn = 0; turn < turns; turn += 1) {
     await values.waitForRoom();
-    const half = Buffer.alloc(bytes / 2, turn);
-    const keep = { input: half, output: half, retentionMs: RETENTION_MS };
-    const settlement = { program: `p${turn % 1_000}`, attempt: idOf(turn), spentTokens: 1, keep };
+    const value = Buffer.alloc(bytes / 2, turn);
+    const keep = { input: value, output: value, retentionMs: RETENTION_MS };
+    const settlement = {
+      program: `p${turn % 1_000}`,
+      attempt: attemptId(turn),
+      spentTokens: 1,
+      keep,
+    };
     state.apply(encodeValue({ kind: 'settle', settlements: [settlement], nowMs: turn }));
     if (turn % 100 === 0) await sleep(0);
   }
   await values.sync();
 }
 
-function idOf(turn: number): string {
+function attemptId(turn: number): string {
   return turn.toString(16).padStart(16, '0');
 }
 
-const noPeers = (): Promise<never> => Promise.reject(new Error('no other members'));
+const rejectReadTurns = (): Promise<never> => Promise.reject(new Error('no other members'));
 
-async function measure(turns: number, bytes: number, folder: string): Promise<KeptTurnsFigures> {
-  const first = await openMember(join(folder, 'first'), noPeers);
-  const before = await usedBytes();
-  await keepTurns(first, turns, bytes);
-  const memoryBytes = (await usedBytes()) - before - CACHE_BYTES;
-  const state = Buffer.concat([...first.state.snapshot()]);
-  const diskBytes = first.values.diskBytes.total;
-  await first.values.close();
+async function measure(turns: number, bytes: number, folder: string): Promise<KeptTurnsCost> {
+  const firstMember = await openMember(join(folder, 'first'), rejectReadTurns);
+  const baselineBytes = await measureUsedBytes();
+  await keepTurns(firstMember, turns, bytes);
+  const memoryBytes = (await measureUsedBytes()) - baselineBytes - CACHE_BYTES;
+  const state = Buffer.concat([...firstMember.state.snapshot()]);
+  const diskBytes = firstMember.values.diskBytes.total;
+  await firstMember.values.close();
 
   const startedAt = monotonicMs();
-  const member = await openMember(join(folder, 'first'), noPeers);
-  member.state.restore(state);
+  const restartedMember = await openMember(join(folder, 'first'), rejectReadTurns);
+  restartedMember.state.restore(state);
   const startMs = monotonicMs() - startedAt;
 
-  const catchUpMs = await catchUp(member, state, join(folder, 'second'));
-  await member.values.close();
+  const catchUpMs = await measureCatchUp(restartedMember, state, join(folder, 'second'));
+  await restartedMember.values.close();
   return { memoryBytes, diskBytes, snapshotBytes: state.length, startMs, catchUpMs };
 }
 
-/** Lets a new member fetch everything that a snapshot names. */
-async function catchUp(source: Member, state: Buffer, folder: string): Promise<number> {
+/** Lets a new member fetch all values that a snapshot refers to; returns the duration. */
+async function measureCatchUp(source: Member, state: Buffer, folder: string): Promise<number> {
   const router = new MethodRouter();
   router.handle(READ_TURNS, (request) => source.state.external.answer(request, true));
   const server = await RpcServer.start({ host: '127.0.0.1', port: 0, secret: SECRET, router });
@@ -101,11 +106,11 @@
     { id: 'first', name: 'first', address, role: 'voter' },
   ]);
   await learner.values.sync();
-  const tookMs = monotonicMs() - startedAt;
+  const elapsedMs = monotonicMs() - startedAt;
   link.close();
   server.close();
   await learner.values.close();
-  return tookMs;
+  return elapsedMs;
 }
 
 const [turns, bytes, folder] = process.argv.slice(2);
--- a/lab/slopes/linear-fit.ts
+++ b/lab/slopes/linear-fit.ts
@@ -1,4 +1,4 @@
-/** Straight lines through measured points (least squares). */
+/** Linear least-squares fit. */
 
 export interface Point {
   x: number;
@@ -8,9 +8,9 @@
 export interface LinearFit {
   slope: number;
   intercept: number;
-  /** Share of the variance that the line explains; 1 is a perfect line. */
+  /** Coefficient of determination (R²); 1 for a perfect fit. */
   rSquared: number;
-  /** Slope of the second half of the points over that of the first; far from 1 is a bend. */
+  /** Slope of the second half of the points divided by that of the first; 1 for a straight line. */
   bend: number;
 }
 
@@ -20,7 +20,7 @@
   const total = sum(points.map((point) => (point.y - meanY) ** 2));
   const residual = sum(points.map((point) => (point.y - intercept - slope * point.x) ** 2));
   const rSquared = total === 0 ? 1 : 1 - residual / total;
-  return { slope, intercept, rSquared, bend: bendOf(points) };
+  return { slope, intercept, rSquared, bend: computeBend(points) };
 }
 
 function leastSquares(points: readonly Point[]): { slope: number; intercept: number } {
@@ -32,7 +32,7 @@
   return { slope, intercept: meanY - slope * meanX };
 }
 
-function bendOf(points: readonly Point[]): number {
+function computeBend(points: readonly Point[]): number {
   const sorted = [...points].sort((left, right) => left.x - right.x);
   const half = Math.ceil(sorted.length / 2);
   const first = leastSquares(sorted.slice(0, half)).slope;
--- a/lab/slopes/slope.ts
+++ b/lab/slopes/slope.ts
@@ -1,8 +1,8 @@
-/** A measured dependence of one quantity on one driver. */
+/** Measured linear dependence of a quantity on the load that drives it. */
 import { type LinearFit, type Point, fitLine } from './linear-fit.js';
 
 export interface Slope {
-  /** Stable name, for example `lease.leader-cpu`. */
+  /** Stable name, for example `call.leader-cpu`. */
   name: string;
   role: 'gateway' | 'control leader' | 'control follower' | 'control member';
   driver: string;
@@ -17,7 +17,7 @@
   return { ...description, points, fit: fitLine(points) };
 }
 
-/** An experiment yields one or several slopes from one series of runs. */
+/** Measures one or more slopes in one series of runs. */
 export interface SlopeExperiment {
   name: string;
   run(report: (step: string) => void): Promise<Slope[]>;
--- a/lab/slopes/state-experiment.ts
+++ b/lab/slopes/state-experiment.ts
@@ -1,4 +1,4 @@
-/** What programs and their histories take in a journal member's memory and snapshots. */
+/** Measures the memory and snapshot size of programs and their histories in a journal member. */
 import { execFile } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 import { promisify } from 'node:util';
@@ -8,7 +8,7 @@
 
 const HOST = fileURLToPath(new URL('journal-memory-host.js', import.meta.url));
 const PROGRAM_COUNTS = [2_000, 4_000, 8_000, 16_000, 32_000];
-const CALLS_EACH = 4;
+const CALLS_PER_PROGRAM = 4;
 const SHORT_CALL_TOKENS = 20;
 const HISTORY_PROGRAMS = 500;
 const HISTORY_TOKENS = [2_000, 5_000, 10_000, 20_000, 40_000];
@@ -21,7 +21,7 @@
     const snapshotTime: Point[] = [];
     for (const programs of PROGRAM_COUNTS) {
       report(`${programs} programs`);
-      const memory = await measure(programs, CALLS_EACH, SHORT_CALL_TOKENS);
+      const memory = await measure(programs, CALLS_PER_PROGRAM, SHORT_CALL_TOKENS);
       perProgram.push({ x: programs, y: memory.heapBytes });
       snapshotTime.push({ x: programs, y: memory.snapshotMs });
     }
--- a/lab/slopes/used-bytes.ts
+++ b/lab/slopes/used-bytes.ts
@@ -1,23 +1,23 @@
-/** What this process holds after garbage has gone. */
+/** Memory usage of this process after garbage collection. */
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 import { sleep } from '../../src/common/index.js';
 
-/** Buffers are given back in the background after a collection, so that one reading may be early. */
-const READINGS = 5;
-const READING_PAUSE_MS = 20;
+/** Buffers are freed in the background after a collection, so that a single reading may be too high. */
+const READING_COUNT = 5;
+const READING_INTERVAL_MS = 20;
 
 setFlagsFromString('--expose-gc');
 const collectGarbage = runInNewContext('gc') as () => void;
 
-/** Bytes of heap and buffers: the least of some readings. */
-export async function usedBytes(): Promise<number> {
-  let least = Number.POSITIVE_INFINITY;
-  for (let reading = 0; reading < READINGS; reading += 1) {
+/** Returns the bytes of heap and buffers: the minimum of several readings. */
+export async function measureUsedBytes(): Promise<number> {
+  let minimum = Number.POSITIVE_INFINITY;
+  for (let reading = 0; reading < READING_COUNT; reading += 1) {
     collectGarbage();
     const { heapUsed, external } = process.memoryUsage();
-    least = Math.min(least, heapUsed + external);
-    await sleep(READING_PAUSE_MS);
+    minimum = Math.min(minimum, heapUsed + external);
+    await sleep(READING_INTERVAL_MS);
   }
-  return least;
+  return minimum;
 }
--- a/src/ledger/kept-turn-index-memory.test.ts
+++ b/src/ledger/kept-turn-index-memory.test.ts
@@ -1,6 +1,6 @@
 /** Memory use of the kept turn index. */
 import { expect, it, onTestFinished } from 'vitest';
-import { usedBytes } from '../../lab/slopes/used-bytes.js';
+import { measureUsedBytes } from '../../lab/slopes/used-bytes.js';
 import { temporaryFolder } from '../../tests/support/temporary-folder.js';
 import { createLogger } from '../observability/index.js';
 import { ValueStore, openStoreFolder } from '../value-store/index.js';
@@ -22,7 +22,7 @@
   });
   onTestFinished(() => values.close());
   const turns = new KeptTurnIndex(values);
-  const before = await usedBytes();
+  const before = await measureUsedBytes();
   for (let turn = 0; turn < TURNS; turn += 1) {
     await values.waitForRoom();
     const input = Buffer.alloc(TURN_BYTES / 2, turn);
@@ -31,7 +31,7 @@
     turns.keep(idOf(turn), { previousTurn, input, output, retentionMs: 60_000 }, turn);
   }
   await values.sync();
-  const grownBy = (await usedBytes()) - before - CACHE_BYTES;
+  const grownBy = (await measureUsedBytes()) - before - CACHE_BYTES;
   expect(grownBy / TURNS).toBeLessThan(MAX_BYTES_PER_TURN);
   const chain = turns.chain(idOf(9))!;
   expect(chain).toHaveLength(10);
