--- a/lab/fleet/fleet-plan.ts
+++ b/lab/fleet/fleet-plan.ts
@@ -1,4 +1,4 @@
-/** Works out all processes of a fleet, their settings, and the proxied links between them. */
+/** Plans the processes of a fleet, their settings and the proxied links between them. */
 import { createHash } from 'node:crypto';
 import { join } from 'node:path';
 import type { IntentDocument } from '../../src/intents/index.js';
@@ -12,7 +12,7 @@
   kind: ProcessKind;
   name: string;
   zone: string;
-  /** Address by which others know it. */
+  /** Address that other processes connect to. */
   address: string;
   statusAddress?: string;
   operatorAddress?: string;
@@ -39,24 +39,24 @@
   /** API key of each tenant. */
   tenantKeys: Record<string, string>;
   intents: IntentDocument;
-  /** Addresses through which clients reach the gateways, in the order of the gateways. */
+  /** Proxied addresses of the gateways for clients, in the order of the gateways. */
   clientGateways: string[];
 }
 
 export interface FleetPlanOptions {
   deployment: Deployment;
   workFolder: string;
-  /** Wall-clock time of one unit of the engines' model time. */
+  /** Wall-clock time per unit of model time of the engines. */
   timeScale: number;
   journalGroups: number;
   seed: number;
-  /** Where ports come from; keeps them reserved as long as the fleet lives. */
+  /** Allocates ports and keeps them reserved until the fleet is down. */
   ports: PortAllocator;
-  /** Settings laid over every gateway's, for example a routing policy. */
+  /** Settings that override those of each gateway, for example a routing policy. */
   gatewaySettings?: Record<string, unknown>;
-  /** Settings laid over every engine's. */
+  /** Settings that override those of each engine. */
   engineSettings?: Record<string, unknown>;
-  /** Settings laid over every control process's. */
+  /** Settings that override those of each control process. */
   controlSettings?: Record<string, unknown>;
 }
 
@@ -71,7 +71,7 @@
   const links = await planLinks(ports, deployment, processes);
   for (const process of processes) {
     if (process.kind === 'control' || process.kind === 'gateway') {
-      process.settings.network = { dialOverrides: overridesFor(process, links) };
+      process.settings.network = { dialOverrides: dialOverridesOf(process, links) };
     }
   }
   processes.unshift(...(await planProxies(ports, deployment, links)));
@@ -150,7 +150,7 @@
 ): Promise<PlannedProcess> {
   const name = `gateway-${index + 1}`;
   const [callerPort, statusPort] = await options.ports.allocate(2);
-  // The member of the own zone first, then the others.
+  // Control processes of the same zone come first.
   const ordered = [
     ...controls.filter((control) => control.zone === zone),
     ...controls.filter((control) => control.zone !== zone),
@@ -200,7 +200,7 @@
   );
 }
 
-/** Where a back end notes what it was asked to do; outlives the back end. */
+/** Path of the file to which a backend appends its records; kept when the backend restarts. */
 export function recordFilePath(workFolder: string, backend: string): string {
   return join(workFolder, 'records', `${backend}.jsonl`);
 }
@@ -223,7 +223,7 @@
   };
 }
 
-interface LinkEnds {
+interface LinkEndpoints {
   source: string;
   sourceZone: string | undefined;
   target: PlannedProcess;
@@ -234,36 +234,36 @@
   deployment: Deployment,
   processes: PlannedProcess[],
 ): Promise<PlannedLink[]> {
-  const of = (...kinds: ProcessKind[]): PlannedProcess[] =>
+  const processesOf = (...kinds: ProcessKind[]): PlannedProcess[] =>
     processes.filter((process) => kinds.includes(process.kind));
-  const ends: LinkEnds[] = [];
-  for (const source of of('gateway')) {
-    for (const target of of('control', 'engine', 'service')) {
-      ends.push({ source: source.name, sourceZone: source.zone, target });
+  const endpoints: LinkEndpoints[] = [];
+  for (const source of processesOf('gateway')) {
+    for (const target of processesOf('control', 'engine', 'service')) {
+      endpoints.push({ source: source.name, sourceZone: source.zone, target });
     }
   }
-  for (const source of of('control')) {
-    for (const target of of('control', 'engine')) {
+  for (const source of processesOf('control')) {
+    for (const target of processesOf('control', 'engine')) {
       if (target === source) continue;
-      ends.push({ source: source.name, sourceZone: source.zone, target });
+      endpoints.push({ source: source.name, sourceZone: source.zone, target });
     }
   }
-  for (const target of of('gateway')) {
-    ends.push({ source: CLIENT, sourceZone: undefined, target });
+  for (const target of processesOf('gateway')) {
+    endpoints.push({ source: CLIENT, sourceZone: undefined, target });
   }
-  const ports = await allocator.allocate(ends.length);
-  return ends.map(({ source, sourceZone, target }, index) => ({
+  const ports = await allocator.allocate(endpoints.length);
+  return endpoints.map(({ source, sourceZone, target }, index) => ({
     id: `${source}>${target.name}`,
     source,
     target: target.name,
     proxyZone: sourceZone ?? target.zone,
     port: ports[index]!,
     targetAddress: target.address,
-    baseDelayMs: delayBetween(deployment, sourceZone, target.zone),
+    baseDelayMs: linkDelayMs(deployment, sourceZone, target.zone),
   }));
 }
 
-function delayBetween(
+function linkDelayMs(
   deployment: Deployment,
   sourceZone: string | undefined,
   targetZone: string,
@@ -272,12 +272,12 @@
   return sourceZone === targetZone ? 0 : deployment.zoneDelayMs;
 }
 
-function overridesFor(process: PlannedProcess, links: PlannedLink[]): Record<string, string> {
+function dialOverridesOf(process: PlannedProcess, links: PlannedLink[]): Record<string, string> {
   const own = links.filter((link) => link.source === process.name);
   return Object.fromEntries(own.map((link) => [link.targetAddress, `${HOST}:${link.port}`]));
 }
 
-/** One proxy a zone carries what starts there, and what clients send there. */
+/** One proxy per zone carries links that start in the zone and client links into it. */
 async function planProxies(
   allocator: PortAllocator,
   deployment: Deployment,
--- a/lab/fleet/fleet-process.ts
+++ b/lab/fleet/fleet-process.ts
@@ -1,4 +1,4 @@
-/** One process that the fleet tool has started. */
+/** A child process of a fleet. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { createWriteStream, mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -7,21 +7,21 @@
 import { Deferred, LedgegaugeError } from '../../src/common/index.js';
 import type { PlannedProcess } from './fleet-plan.js';
 
-/** A process did not come up. */
+/** A process failed to start. */
 export class ProcessStartError extends LedgegaugeError {}
 
-/** Tests run from the sources; the programs that they start are the built ones all the same. */
+/** Processes run the built programs, also when this module is run from its TypeScript source. */
 const RUNS_FROM_SOURCE = import.meta.url.endsWith('.ts');
-const DISTRIBUTION = fileURLToPath(
+const DIST_FOLDER = fileURLToPath(
   new URL(RUNS_FROM_SOURCE ? '../../dist/' : '../../', import.meta.url),
 );
-const PRODUCT = join(DISTRIBUTION, 'src/cli/ledgegauge.js');
-const EMULATOR = join(DISTRIBUTION, 'emulator/cli/ledgegauge-emulator.js');
+const LEDGEGAUGE_CLI = join(DIST_FOLDER, 'src/cli/ledgegauge.js');
+const EMULATOR_CLI = join(DIST_FOLDER, 'emulator/cli/ledgegauge-emulator.js');
 const START_TIMEOUT_MS = 30_000;
 
 export class FleetProcess {
   private child: ChildProcess | undefined;
-  private exited: Promise<number | null> = Promise.resolve(null);
+  private exitCode: Promise<number | null> = Promise.resolve(null);
 
   constructor(
     readonly plan: PlannedProcess,
@@ -40,26 +40,27 @@
     return this.child !== undefined && this.child.exitCode === null && !this.child.signalCode;
   }
 
-  /** Resolves with the exit code once the process has ended. */
+  /** Resolves with the exit code after the process has exited. */
   get exit(): Promise<number | null> {
-    return this.exited;
+    return this.exitCode;
   }
 
-  /** Starts the process; resolves when it says that it serves. @throws ProcessStartError */
+  /** Starts the process; resolves when it reports readiness. @throws ProcessStartError */
   async start(): Promise<void> {
     const child = spawn(process.execPath, this.arguments(), { stdio: ['ignore', 'pipe', 'pipe'] });
     this.child = child;
     const log = createWriteStream(join(this.logFolder(), `${this.name}.log`), { flags: 'a' });
     child.stderr!.pipe(log);
-    this.exited = new Promise((resolve) => child.once('exit', (code) => resolve(code)));
+    this.exitCode = new Promise((resolve) => child.once('exit', (code) => resolve(code)));
     const ready = new Deferred<void>();
     child.stdout!.once('data', () => ready.resolve());
     const context = { step: 'fleet.start', peer: this.name };
-    void this.exited.then((code) =>
-      ready.reject(new ProcessStartError(`ended with code ${code}`, context)),
+    void this.exitCode.then((code) =>
+      ready.reject(new ProcessStartError(`exited with code ${code} before it was ready`, context)),
     );
     const timer = setTimeout(
-      () => ready.reject(new ProcessStartError('did not come up in time', context)),
+      () =>
+        ready.reject(new ProcessStartError('process not ready within the start timeout', context)),
       START_TIMEOUT_MS,
     );
     try {
@@ -69,24 +70,24 @@
     }
   }
 
-  /** Sends a signal to this process, by its id. */
+  /** Sends a signal to the process if it is running. */
   signal(signal: NodeJS.Signals): void {
     if (this.isRunning) this.child!.kill(signal);
   }
 
-  /** Ends the process at once and waits for it. */
+  /** Kills the process and waits for its exit. */
   async kill(): Promise<void> {
     this.signal('SIGKILL');
-    await this.exited;
+    await this.exitCode;
   }
 
-  /** Asks the process to stop; kills it after `patienceMs`. Resolves with the exit code. */
-  async stop(patienceMs: number): Promise<number | null> {
-    if (!this.isRunning) return this.exited;
+  /** Terminates the process and kills it after `timeoutMs`. Resolves with the exit code. */
+  async stop(timeoutMs: number): Promise<number | null> {
+    if (!this.isRunning) return this.exitCode;
     this.signal('SIGCONT');
     this.signal('SIGTERM');
-    const timer = setTimeout(() => this.signal('SIGKILL'), patienceMs);
-    const code = await this.exited;
+    const timer = setTimeout(() => this.signal('SIGKILL'), timeoutMs);
+    const code = await this.exitCode;
     clearTimeout(timer);
     return code;
   }
@@ -96,8 +97,8 @@
     mkdirSync(folder, { recursive: true });
     const file = join(folder, `${this.name}.yaml`);
     writeFileSync(file, stringify(this.plan.settings));
-    const isProduct = this.plan.kind === 'control' || this.plan.kind === 'gateway';
-    return [isProduct ? PRODUCT : EMULATOR, this.plan.kind, '--config', file];
+    const isLedgegauge = this.plan.kind === 'control' || this.plan.kind === 'gateway';
+    return [isLedgegauge ? LEDGEGAUGE_CLI : EMULATOR_CLI, this.plan.kind, '--config', file];
   }
 
   private logFolder(): string {
--- a/lab/fleet/fleet.ts
+++ b/lab/fleet/fleet.ts
@@ -1,4 +1,4 @@
-/** A whole fleet on one machine: started, disturbed and taken down again. */
+/** Starts a fleet of processes on one machine, injects faults and stops it. */
 import { mkdirSync, rmSync } from 'node:fs';
 import { join } from 'node:path';
 import { request } from 'undici';
@@ -16,21 +16,21 @@
   planFleet,
 } from './fleet-plan.js';
 
-/** The fleet did not get into the state that was waited for. */
+/** An operation on the fleet failed or timed out. */
 export class FleetError extends LedgegaugeError {}
 
 export interface FleetOptions extends Omit<FleetPlanOptions, 'ports'> {
-  /** Told of each step, for people who watch. */
+  /** Called for each started process. */
   onProgress?: (done: number, total: number, step: string) => void;
-  /** Told of the fleet before anything is started, so that an interrupt can take it down. */
+  /** Called before any process is started, so that an interrupt can stop the fleet. */
   onCreated?: (fleet: Fleet) => void;
 }
 
-const START_PATIENCE_MS = 40_000;
-const STOP_PATIENCE_MS = 15_000;
-const POLL_MS = 50;
-/** Processes started at a time, so that a small machine is not flooded. */
-const START_BATCH = 8;
+const START_TIMEOUT_MS = 40_000;
+const STOP_TIMEOUT_MS = 15_000;
+const POLL_INTERVAL_MS = 50;
+/** Number of processes started concurrently; limits the load on small machines. */
+const START_BATCH_SIZE = 8;
 
 export class Fleet {
   readonly processes = new Map<string, FleetProcess>();
@@ -41,7 +41,7 @@
     private readonly ports: PortAllocator,
   ) {}
 
-  /** Starts everything, founds the cluster and puts the intents into force. */
+  /** Starts all processes, applies the intents and waits until the gateways are ready. */
   static async up(options: FleetOptions): Promise<Fleet> {
     mkdirSync(join(options.workFolder, 'records'), { recursive: true });
     const ports = new PortAllocator();
@@ -92,7 +92,7 @@
     return this.operator.get<SystemStatus>('/v1/status');
   }
 
-  /** Sets a fault on links by name (`*` stands for any text); an empty fault heals them. */
+  /** Sets a fault on links by name (`*` matches any text); an empty fault clears it. */
   async setFault(links: string[], fault: Partial<LinkFault>): Promise<void> {
     await Promise.all(
       this.ofKind('fault-proxy').map(async (proxy) => {
@@ -103,7 +103,10 @@
         });
         await response.body.dump();
         if (response.statusCode !== 200) {
-          throw new FleetError('fault refused', { step: 'fleet.fault', peer: proxy.name });
+          throw new FleetError('fault proxy rejected the fault', {
+            step: 'fleet.fault',
+            peer: proxy.name,
+          });
         }
       }),
     );
@@ -113,7 +116,7 @@
     return this.setFault(['*'], {});
   }
 
-  /** Ends a process at once, deletes its data folder and starts it again. */
+  /** Kills a process, deletes its data folder and restarts it. */
   async loseDisk(name: string): Promise<void> {
     const process = this.process(name);
     await process.kill();
@@ -121,35 +124,35 @@
     await process.start();
   }
 
-  /** Resolves once `condition` holds. @throws FleetError after `patienceMs` */
+  /** Polls until `condition` holds. @throws FleetError after `timeoutMs` */
   async waitFor(
     step: string,
     condition: () => Promise<boolean>,
-    patienceMs: number = START_PATIENCE_MS,
+    timeoutMs: number = START_TIMEOUT_MS,
   ): Promise<void> {
-    const deadline = monotonicMs() + patienceMs;
-    let lastProblem = 'condition does not hold';
+    const deadline = monotonicMs() + timeoutMs;
+    let lastProblem = 'condition not met';
     while (monotonicMs() < deadline) {
       try {
         if (await condition()) return;
       } catch (error) {
         lastProblem = describeError(error);
       }
-      await sleep(POLL_MS);
+      await sleep(POLL_INTERVAL_MS);
     }
-    throw new FleetError(`not in time: ${lastProblem}`, { step });
+    throw new FleetError(`timed out: ${lastProblem}`, { step });
   }
 
   waitUntilGatewaysReady(): Promise<void> {
     return this.waitFor('gateways ready', async () => {
-      const answers = await Promise.all(
+      const readiness = await Promise.all(
         this.ofKind('gateway').map((gateway) => isReady(gateway.plan.statusAddress!)),
       );
-      return answers.every(Boolean);
+      return readiness.every(Boolean);
     });
   }
 
-  /** Stops everything: callers' side first, then what it depends on. */
+  /** Stops all processes: gateways first, then the processes that they depend on. */
   async down(): Promise<void> {
     const order: ProcessKind[][] = [
       ['gateway'],
@@ -159,40 +162,40 @@
     ];
     for (const kinds of order) {
       const stopping = kinds.flatMap((kind) => this.ofKind(kind));
-      await Promise.all(stopping.map((process) => process.stop(STOP_PATIENCE_MS)));
+      await Promise.all(stopping.map((process) => process.stop(STOP_TIMEOUT_MS)));
     }
     await this.ports.release();
   }
 
-  /** Ends every process at once; for when the tool itself is interrupted. */
+  /** Kills all processes; used when the tool is interrupted. */
   killAll(): void {
     for (const process of this.processes.values()) process.signal('SIGKILL');
   }
 
   private async startAll(options: FleetOptions): Promise<void> {
-    const waiting = [...this.processes.values()];
-    const total = waiting.length;
-    let done = 0;
-    while (waiting.length > 0) {
-      const batch = waiting.splice(0, START_BATCH);
+    const pending = [...this.processes.values()];
+    const total = pending.length;
+    let startedCount = 0;
+    while (pending.length > 0) {
+      const batch = pending.splice(0, START_BATCH_SIZE);
       await Promise.all(
         batch.map(async (process) => {
           await process.start();
-          done += 1;
-          options.onProgress?.(done, total, process.name);
+          startedCount += 1;
+          options.onProgress?.(startedCount, total, process.name);
         }),
       );
     }
   }
 
   private async retry<T>(step: string, work: () => Promise<T>): Promise<T> {
-    const deadline = monotonicMs() + START_PATIENCE_MS;
+    const deadline = monotonicMs() + START_TIMEOUT_MS;
     for (;;) {
       try {
         return await work();
       } catch (cause) {
-        if (monotonicMs() >= deadline) throw new FleetError('not in time', { step, cause });
-        await sleep(POLL_MS);
+        if (monotonicMs() >= deadline) throw new FleetError('timed out', { step, cause });
+        await sleep(POLL_INTERVAL_MS);
       }
     }
   }
--- a/lab/fleet/ports.ts
+++ b/lab/fleet/ports.ts
@@ -1,13 +1,12 @@
 /**
- * Ports for the processes of a fleet, free by the word of the system, which is asked to bind each.
- * They lie below the range from which the system takes ports for outgoing connections: a process
- * that is ended and started again must find its port as it left it. Ports are taken from blocks; the
- * tool keeps a block's first port bound while it lives, so that two fleets never share a block.
+ * Allocates free ports for the processes of a fleet; each is checked by binding it. The ports are
+ * below the ephemeral range, so that no outgoing connection takes the port of a process that restarts.
+ * The first port of each block stays bound as a lock, so that two fleets do not share a block.
  */
 import { type Server, createServer } from 'node:net';
 import { LedgegaugeError } from '../../src/common/index.js';
 
-/** No free ports were found. */
+/** No free port was found. */
 export class PortError extends LedgegaugeError {}
 
 const HOST = '127.0.0.1';
@@ -16,16 +15,16 @@
 const BLOCK_COUNT = 84;
 
 export class PortAllocator {
-  private readonly locks: Server[] = [];
-  private next = 0;
-  private end = 0;
+  private readonly blockLocks: Server[] = [];
+  private nextPort = 0;
+  private blockEnd = 0;
 
-  /** @throws PortError when every block is taken */
+  /** @throws PortError if all blocks are in use */
   async allocate(count: number): Promise<number[]> {
     const ports: number[] = [];
     while (ports.length < count) {
-      if (this.next >= this.end) await this.reserveBlock();
-      const port = this.next++;
+      if (this.nextPort >= this.blockEnd) await this.reserveBlock();
+      const port = this.nextPort++;
       const server = await tryBind(port);
       if (!server) continue;
       await close(server);
@@ -34,10 +33,10 @@
     return ports;
   }
 
-  /** Gives the blocks back. */
+  /** Releases all blocks. */
   async release(): Promise<void> {
-    await Promise.all(this.locks.splice(0).map(close));
-    this.next = this.end = 0;
+    await Promise.all(this.blockLocks.splice(0).map(close));
+    this.nextPort = this.blockEnd = 0;
   }
 
   private async reserveBlock(): Promise<void> {
@@ -47,9 +46,9 @@
       const lock = await tryBind(first);
       if (!lock) continue;
       lock.unref();
-      this.locks.push(lock);
-      this.next = first + 1;
-      this.end = first + BLOCK_SIZE;
+      this.blockLocks.push(lock);
+      this.nextPort = first + 1;
+      this.blockEnd = first + BLOCK_SIZE;
       return;
     }
     throw new PortError('no free block of ports', { step: 'fleet.ports' });
--- a/lab/fleet/topology.ts
+++ b/lab/fleet/topology.ts
@@ -1,10 +1,10 @@
-/** The two deployments of the users: zones, sizes and distances. */
+/** The predefined deployments: zones, process counts and network delays. */
 import { LedgegaugeError } from '../../src/common/index.js';
 
 export type DeploymentName = 'pipeline' | 'consortium';
 
 export interface BackendGroup {
-  /** Prefix of the runners' names. */
+  /** Prefix of the backends' names. */
   name: string;
   count: number;
 }
@@ -16,13 +16,13 @@
   controlZones: string[];
   engines: BackendGroup;
   services: BackendGroup;
-  /** What the service back ends offer. */
+  /** Names of the services that the service backends offer. */
   serviceNames: string[];
   model: string;
   tenants: string[];
-  /** One-way delay between two zones, in milliseconds (assumed). */
+  /** One-way delay between two zones, in milliseconds. */
   zoneDelayMs: number;
-  /** One-way delay between clients and any zone, in milliseconds (assumed). */
+  /** One-way delay between clients and any zone, in milliseconds. */
   clientDelayMs: number;
 }
 
@@ -58,15 +58,15 @@
   consortium: CONSORTIUM,
 };
 
-/** @throws LedgegaugeError when there is no deployment of that name */
+/** @throws LedgegaugeError if the deployment is unknown */
 export function findDeployment(name: string): Deployment {
   const found = Object.values(DEPLOYMENTS).find((deployment) => deployment.name === name);
   if (found) return found;
   const known = Object.keys(DEPLOYMENTS).join(' or ');
-  throw new LedgegaugeError(`--deployment is ${known}`, { step: 'cli.usage' });
+  throw new LedgegaugeError(`--deployment must be ${known}`, { step: 'cli.usage' });
 }
 
-/** The zone of the n-th of things that are spread evenly. */
+/** Returns the zone of the process with this index; processes are spread over zones in turn. */
 export function zoneOf(deployment: Deployment, index: number): string {
   return deployment.zones[index % deployment.zones.length]!;
 }
