--- a/tests/support/committing-directory.ts
+++ b/tests/support/committing-directory.ts
@@ -1,4 +1,4 @@
-/** A directory's leader over a group that commits at once, for tests of what it answers. */
+/** A directory leader on a group that commits immediately, for tests of its responses. */
 import { onTestFinished } from 'vitest';
 import type { ReplicatedGroup } from '../../src/consensus/index.js';
 import { DirectoryLeader } from '../../src/directory/index.js';
@@ -7,9 +7,9 @@
 import { emptyConfiguration } from './directory-samples.js';
 
 export interface CommittingDirectoryOptions {
-  /** Members that hold each entry as soon as it is committed. @default none */
+  /** Members that apply each entry when it is committed. @default none */
   followers?: CommittingDirectory[];
-  /** Address of the member that leads, for one that follows. @default this one leads */
+  /** Address of the leader, for a follower. @default this member leads */
   leaderAddress?: () => string;
 }
 
--- a/tests/support/consensus-cluster.ts
+++ b/tests/support/consensus-cluster.ts
@@ -1,4 +1,4 @@
-/** A replicated group of several members in one process, over a network that can be cut. */
+/** A replicated group whose members run in one process and communicate over a network with cuttable links. */
 import { rm } from 'node:fs/promises';
 import { join } from 'node:path';
 import { onTestFinished } from 'vitest';
@@ -27,7 +27,7 @@
 
 export const GROUP = 'test-group';
 
-/** Keeps the list of all applied commands. */
+/** State machine that stores all applied commands in a list. */
 export class ListMachine implements StateMachine {
   items: string[] = [];
   readonly external?: ExternalState;
@@ -56,9 +56,8 @@
   host: GroupHost;
   group: ReplicatedGroup;
   wal: WriteAheadLog;
-  /** Methods that it answers. */
   router: MethodRouter;
-  /** The disk below its write-ahead log. */
+  /** Disk of its write-ahead log. */
   disk: FaultyDisk;
   fatalErrors: unknown[];
 }
@@ -68,9 +67,9 @@
   folder: string;
   consensus?: ConsensusOptions;
   quotaBytes?: number;
-  /** Makes the state machine of a member. @default a list without external state */
+  /** Creates the state machine of a member. @default a list without external state */
   createMachine?: (member: Member) => ListMachine;
-  /** @default one without delays */
+  /** @default a network without delays */
   network?: LoopbackNetwork;
 }
 
@@ -84,7 +83,9 @@
   constructor(private readonly options: ClusterOptions) {
     this.network = options.network ?? new LoopbackNetwork();
     this.founders = {
-      members: Array.from({ length: options.size }, (_, index) => founder(`member-${index + 1}`)),
+      members: Array.from({ length: options.size }, (_, index) =>
+        createFounder(`member-${index + 1}`),
+      ),
     };
   }
 
@@ -92,7 +93,7 @@
     for (const member of this.founders.members) await this.start(member, true);
   }
 
-  /** Starts a member from its folder; a founder also writes the group's first entry. */
+  /** Starts a member with its folder; a founder also bootstraps the group. */
   async start(member: Member, isFounder: boolean): Promise<RunningMember> {
     const folder = this.folderOf(member);
     const fatalErrors: unknown[] = [];
@@ -132,7 +133,7 @@
     return running;
   }
 
-  /** Ends a member without any farewell; its folder stays. */
+  /** Stops a member abruptly; its folder stays. */
   async crash(id: string): Promise<Member> {
     const running = this.running.get(id)!;
     this.network.remove(running.member.address);
@@ -155,7 +156,7 @@
     return [...this.running.values()];
   }
 
-  /** The member that leads with the highest term. */
+  /** The leader with the highest term. */
   get leader(): RunningMember | undefined {
     return this.members
       .filter(({ group }) => group.isLeader)
@@ -176,7 +177,7 @@
     return new GroupClient({ peers: this.network.peersOf(name), addresses, tryTimeoutMs: 300 });
   }
 
-  /** Asks the leader once to take a member in; returns whether it is a voter now. */
+  /** Sends one join request to the leader. @returns whether the member was accepted */
   async join(member: Member): Promise<boolean> {
     try {
       return await this.client().callWithRedirect<JoinRequest, JoinResponse, boolean>(
@@ -199,7 +200,7 @@
   }
 }
 
-/** A running cluster of three, or as the options say; it ends with the test. */
+/** Starts a cluster of three members, or as given by the options, and stops it after the test. */
 export async function startCluster(
   options: Partial<ClusterOptions> = {},
 ): Promise<ConsensusCluster> {
@@ -209,6 +210,6 @@
   return cluster;
 }
 
-function founder(name: string): Member {
+function createFounder(name: string): Member {
   return { id: `${name}-first`, name, address: name, role: 'voter' };
 }
--- a/tests/support/delay-relay.ts
+++ b/tests/support/delay-relay.ts
@@ -1,15 +1,15 @@
-/** A TCP relay whose answers come late, as those of a process that has more to do than it can. */
+/** A TCP relay that delays responses, like an overloaded process. */
 import { type AddressInfo, connect, createServer } from 'node:net';
 import { onTestFinished } from 'vitest';
 
 export class DelayRelay {
-  /** How late bytes from the target arrive, in milliseconds. */
+  /** Delay of data from the target, in milliseconds. */
   delayMs = 0;
-  /** Connections taken so far. */
+  /** Number of accepted connections. */
   connections = 0;
   address = '';
 
-  /** @param targetPort on the loopback address */
+  /** @param targetPort port on the loopback address */
   static async start(targetPort: number): Promise<DelayRelay> {
     const relay = new DelayRelay();
     const server = createServer((near) => {
--- a/tests/support/directory-samples.ts
+++ b/tests/support/directory-samples.ts
@@ -1,4 +1,4 @@
-/** Small values of the directory for tests. */
+/** Sample values of the directory for tests. */
 import { type BackendRegistration, incarnationId } from '../../src/directory/index.js';
 import type { RouteConfiguration } from '../../src/routes/index.js';
 
--- a/tests/support/faulty-disk.ts
+++ b/tests/support/faulty-disk.ts
@@ -1,16 +1,16 @@
-/** Files of a write-ahead log whose disk fills up, accepts parts of writes, or stalls, on request. */
+/** A disk for a write-ahead log that can run full, write partially, or stall. */
 import { open } from 'node:fs/promises';
 import type { LogFile, OpenLogFile } from '../../src/log-store/index.js';
 import { Deferred } from '../../src/common/index.js';
 
 export class FaultyDisk {
-  /** Writes beyond this many bytes from now on are refused; no limit when undefined. */
+  /** Bytes that can still be written; undefined for no limit. */
   freeBytes: number | undefined;
-  /** Files can't be made, though those that are there may still be written. */
+  /** Whether creating files fails; existing files stay writable. */
   refusesNewFiles = false;
   private stalled: Deferred<void> | undefined;
 
-  /** Syncs wait until `resume`. */
+  /** Blocks syncs until `resume`. */
   stall(): void {
     this.stalled = new Deferred();
   }
@@ -21,11 +21,11 @@
   }
 
   readonly openFile: OpenLogFile = async (path, flags) => {
-    if (this.refusesNewFiles && flags === 'w') throw noSpace();
+    if (this.refusesNewFiles && flags === 'w') throw noSpaceError();
     const file = await open(path, flags);
     const faulty: LogFile = {
       write: (bytes, start, length, offset) =>
-        file.write(bytes, start, this.takeRoom(length), offset),
+        file.write(bytes, start, this.takeFreeBytes(length), offset),
       truncate: (length) => file.truncate(length),
       datasync: async () => {
         await this.stalled?.promise;
@@ -36,16 +36,16 @@
     return faulty;
   };
 
-  /** Like a real disk, accepts what fits of a write and refuses the next one. */
-  private takeRoom(length: number): number {
+  /** Like a real disk, writes the part that fits and fails the next write. */
+  private takeFreeBytes(length: number): number {
     if (this.freeBytes === undefined) return length;
-    if (this.freeBytes === 0) throw noSpace();
+    if (this.freeBytes === 0) throw noSpaceError();
     const taken = Math.min(length, this.freeBytes);
     this.freeBytes -= taken;
     return taken;
   }
 }
 
-function noSpace(): Error {
+function noSpaceError(): Error {
   return Object.assign(new Error('ENOSPC: no space left on device'), { code: 'ENOSPC' });
 }
--- a/tests/support/fuzz-seeds.ts
+++ b/tests/support/fuzz-seeds.ts
@@ -1,12 +1,15 @@
 /**
- * Seeds of a fuzz test: those that ever failed, then a fixed range, so that every run of the suite
- * gives the same verdict. `LEDGEGAUGE_FUZZ_SEEDS=N` plays N fresh seeds in their place, by hand.
+ * Seeds of a fuzz test: seeds that failed before and a fixed range, so that runs are reproducible.
+ * `LEDGEGAUGE_FUZZ_SEEDS=N` uses N random seeds instead.
  */
 import { randomInt } from 'node:crypto';
 
 const LARGEST_SEED = 2 ** 31 - 1;
 
-/** @param failed seeds that failed once, each with a line on the cause where it is listed */
+/**
+ * @param failed seeds of earlier failures
+ * @param regular number of further seeds
+ */
 export function fuzzSeeds(failed: readonly number[], regular: number): number[] {
   const fresh = Number(process.env.LEDGEGAUGE_FUZZ_SEEDS ?? 0);
   if (fresh > 0) return Array.from({ length: fresh }, () => randomInt(LARGEST_SEED));
--- a/tests/support/journal-bench.ts
+++ b/tests/support/journal-bench.ts
@@ -1,4 +1,4 @@
-/** A journal without a cluster: commands are applied to the state machine one by one. */
+/** A journal without a cluster: commands are applied directly to the state machine. */
 import { countMessageTokens } from '../../src/common/index.js';
 import type {
   BeginCommand,
@@ -18,7 +18,7 @@
 const MESSAGES = [{ role: 'user', content: 'why does the build fail?' }];
 export const PROMPT_TOKENS = countMessageTokens(MESSAGES);
 const OUTPUT_TOKENS = 100;
-/** The most that one call of the bench can cost, in tokens. */
+/** Maximum cost of one call, in tokens. */
 export const MAX_CALL_COST = PROMPT_TOKENS + OUTPUT_TOKENS;
 export const LIMITS = { maxCalls: 10, maxDepth: 2, maxRepeatedCalls: 3, idleTimeoutMs: 60_000 };
 const GATEWAY = { id: 'gateway-1', incarnation: 'a' };
@@ -40,8 +40,8 @@
     ) as Result;
   };
 
-  readonly open = (change: Partial<OpenCommand> = {}): string => {
-    const programId = change.programId ?? createProgramId(TENANT, change.parent, undefined);
+  readonly open = (overrides: Partial<OpenCommand> = {}): string => {
+    const programId = overrides.programId ?? createProgramId(TENANT, overrides.parent, undefined);
     const command: OpenCommand = {
       type: 'open',
       tenant: TENANT,
@@ -49,7 +49,7 @@
       budget: 10_000,
       deadlineMs: 1_000_000,
       limits: LIMITS,
-      ...change,
+      ...overrides,
       programId,
     };
     this.apply(command);
@@ -59,7 +59,7 @@
   readonly beginCommand = (
     programId: string,
     sequence: number,
-    change: Partial<BeginCommand> = {},
+    overrides: Partial<BeginCommand> = {},
   ): BeginCommand => {
     return {
       type: 'begin',
@@ -78,22 +78,22 @@
       gateway: GATEWAY,
       backend: 'engine-1',
       serviceCost: 0,
-      ...change,
+      ...overrides,
     };
   };
 
   readonly begin = (
     programId: string,
     sequence: number,
-    change: Partial<BeginCommand> = {},
+    overrides: Partial<BeginCommand> = {},
   ): BeginResult => {
-    return this.apply(this.beginCommand(programId, sequence, change));
+    return this.apply(this.beginCommand(programId, sequence, overrides));
   };
 
   readonly finish = (
     programId: string,
     sequence: number,
-    change: Partial<FinishCommand> = {},
+    overrides: Partial<FinishCommand> = {},
   ): unknown => {
     return this.apply({
       type: 'finish',
@@ -106,14 +106,14 @@
       cost: PROMPT_TOKENS + 10,
       finishReason: 'stop',
       backends: ['engine-1'],
-      ...change,
+      ...overrides,
     });
   };
 
   readonly restart = (
     programId: string,
     sequence: number,
-    change: Partial<RestartCommand>,
+    overrides: Partial<RestartCommand>,
   ): BeginResult => {
     return this.apply({
       type: 'restart',
@@ -124,7 +124,7 @@
       token: `token-${(this.tokens += 1)}`,
       gateway: GATEWAY,
       backend: 'engine-2',
-      ...change,
+      ...overrides,
     });
   };
 
--- a/tests/support/kept-load.ts
+++ b/tests/support/kept-load.ts
@@ -1,4 +1,4 @@
-/** Gateways that keep turns of equal size at a steady rate in a ledger on links like those of machines. */
+/** Load of gateways that store kept turns of equal size at a constant rate, over links with limited bandwidth. */
 import type { LedgerClient } from '../../src/ledger/ledger-client.js';
 import { monotonicMs, sleep } from '../../src/common/index.js';
 import { LedgerCluster } from './ledger-cluster.js';
@@ -9,26 +9,26 @@
 const TIMING = { heartbeatIntervalMs: 60, electionTimeoutMs: 300, startupElectionTimeoutMs: 40 };
 const GATEWAYS = 20;
 const TURN_BYTES = 17_000;
-/** Four copies of so many turns take 0.9 of the leader's link. */
+/** Four copies of these turns use 0.9 of the bandwidth of the leader's link. */
 export const REGULAR_TURNS_PER_SECOND = 75;
-/** One copy takes 0.43 of it. */
+/** One copy of these turns uses 0.43 of the bandwidth of the leader's link. */
 export const BURST_TURNS_PER_SECOND = 150;
-/** Ten times what a turn takes while the link is free. */
-const IN_TIME_MS = 200;
+/** Ten times the duration on an idle link. */
+const KEEP_LATENCY_LIMIT_MS = 200;
 const TURN_TIMEOUT_MS = 1_000;
-/** How long after a disturbance all is to be as before. */
+/** Time to recover after a disturbance, in milliseconds. */
 export const RECOVERY_MS = 2_000;
 
 interface KeptTurnRecord {
   sentAt: number;
-  /** Absent when it was not kept. */
+  /** Undefined if it was not kept. */
   tookMs?: number;
 }
 
 export class KeptLoad {
   private readonly turns: KeptTurnRecord[] = [];
   private readonly clients: LedgerClient[];
-  private readonly open: Promise<void>[] = [];
+  private readonly pending: Promise<void>[] = [];
 
   constructor(ledger: LedgerCluster) {
     const names = Array.from({ length: GATEWAYS }, (_, index) => `gateway-${index}`);
@@ -38,28 +38,31 @@
   async send(perSecond: number, forMs: number): Promise<void> {
     const startedAt = monotonicMs();
     for (let sent = 0; monotonicMs() - startedAt < forMs; sent += 1) {
-      this.open.push(this.keepOne());
+      this.pending.push(this.keepTurn());
       await sleep(startedAt + ((sent + 1) * 1_000) / perSecond - monotonicMs());
     }
   }
 
   async waitForAll(): Promise<void> {
-    await Promise.all(this.open);
+    await Promise.all(this.pending);
   }
 
-  /** Share of the turns sent in a span that were kept in time. */
+  /** Share of the turns sent in an interval that were kept in time. */
   shareInTimeBetween(from: number, to: number): number {
-    const own = this.turns.filter(({ sentAt }) => sentAt >= from && sentAt < to);
-    return own.filter(({ tookMs = Infinity }) => tookMs <= IN_TIME_MS).length / own.length;
+    const matching = this.turns.filter(({ sentAt }) => sentAt >= from && sentAt < to);
+    return (
+      matching.filter(({ tookMs = Infinity }) => tookMs <= KEEP_LATENCY_LIMIT_MS).length /
+      matching.length
+    );
   }
 
-  /** Bytes of the turns sent in a span that were kept at all. */
+  /** Bytes of the turns sent in an interval that were kept. */
   keptBytesBetween(from: number, to: number): number {
-    const own = this.turns.filter(({ sentAt }) => sentAt >= from && sentAt < to);
-    return own.filter(({ tookMs }) => tookMs !== undefined).length * TURN_BYTES;
+    const matching = this.turns.filter(({ sentAt }) => sentAt >= from && sentAt < to);
+    return matching.filter(({ tookMs }) => tookMs !== undefined).length * TURN_BYTES;
   }
 
-  private async keepOne(): Promise<void> {
+  private async keepTurn(): Promise<void> {
     const record: KeptTurnRecord = { sentAt: monotonicMs() };
     const number = this.turns.push(record);
     const client = this.clients[number % GATEWAYS]!;
@@ -70,12 +73,12 @@
       await client.settle(settlement, TURN_TIMEOUT_MS);
       record.tookMs = monotonicMs() - record.sentAt;
     } catch {
-      // Not kept in time: counted as such.
+      // The record stays without a duration and so counts as not kept.
     }
   }
 }
 
-/** Five voters and three learners. */
+/** Starts a ledger with five voters and three learners. */
 export async function startMeteredLedger(): Promise<{
   ledger: LedgerCluster;
   links: MeteredLinks;
--- a/tests/support/ledger-cluster.ts
+++ b/tests/support/ledger-cluster.ts
@@ -1,4 +1,4 @@
-/** Members of a replicated ledger over a stand-in network, for tests of what is read of kept turns. */
+/** A replicated ledger on an in-process network, for tests that read kept turns. */
 import {
   type ConsensusOptions,
   GroupClient,
@@ -29,7 +29,7 @@
 const INPUT = Buffer.alloc(17_000, 'i');
 const OUTPUT = Buffer.from('data: o\n');
 const RETENTION_MS = 60_000;
-/** How long one member may take to send values to another. */
+/** Options of a request for values to another member. */
 const READ_LIMITS = { timeoutMs: 2_000 };
 
 export interface LedgerClusterOptions {
@@ -37,24 +37,24 @@
   voters?: number;
   /** @default 0 */
   learners?: number;
-  /** What messages have to pass. @default nothing */
+  /** Links with limited bandwidth. @default unlimited */
   links?: MeteredLinks;
   consensus?: ConsensusOptions;
 }
 
 export const ledgerTestLogger = createLogger({ test: 'histories' });
 
-/** Settling it keeps the turn `turn-1`. */
+/** Settlement that keeps the turn `turn-1`. */
 export const KEPT_TURN: Settlement = {
   program: 'p',
   attempt: 'turn-1',
   spentTokens: 1,
   keep: { input: INPUT, output: OUTPUT, retentionMs: RETENTION_MS },
 };
-/** What a turn after `turn-1` continues from. */
+/** History of a turn that continues `turn-1`. */
 export const KEPT_HISTORY = Buffer.concat([INPUT, OUTPUT]);
 
-/** Reserves a turn after `turn-1`, whose history it wants. */
+/** Reservation of a turn that continues `turn-1` and requests its history. */
 export const NEXT_TURN = {
   program: 'p',
   attempt: 'turn-2',
@@ -63,7 +63,7 @@
   wantsHistory: true,
 };
 
-/** A ledger in place of the cluster's list. */
+/** Ledger state machine in index of the cluster's list. */
 class LedgerMachine extends ListMachine {
   readonly values: MemoryValues;
   readonly state: LedgerStateMachine;
@@ -133,13 +133,13 @@
     return this.cluster.members.map(({ member }) => member.address);
   }
 
-  /** Reads histories as a gateway does. */
+  /** Creates a history reader like that of a gateway. */
   createReader(name = 'gateway'): HistoryReader {
     const peers = this.cluster.network.peersOf(name);
     return new HistoryReader({ callWhenConnected: peers.call }, ledgerTestLogger);
   }
 
-  /** The ledger as a gateway reaches it. */
+  /** Creates a ledger client like that of a gateway. */
   createClient(name: string): LedgerClient {
     const { network } = this.cluster;
     const peers = network.peersOf(name);
@@ -148,19 +148,19 @@
     return new LedgerClient(groups, ledgerTestLogger, name, this.createReader(name), copies);
   }
 
-  /** Starts all members that crashed; their stores have written nothing, their logs all. */
+  /** Restarts all crashed members with their logs and without stored values. */
   async restartAll(): Promise<void> {
     for (const { running } of [...this.members]) await this.restartMember(running.member);
   }
 
-  /** Starts one member that crashed. */
+  /** Restarts a crashed member. */
   async restartMember(member: Member): Promise<void> {
     const { cluster, members } = this;
-    const place = members.findIndex(({ running }) => running.member.id === member.id);
-    members[place] = serveLedger(await cluster.start(member, false), cluster.network);
+    const index = members.findIndex(({ running }) => running.member.id === member.id);
+    members[index] = serveLedger(await cluster.start(member, false), cluster.network);
   }
 
-  /** Two followers lose their disks at the same time and come back as new members, each as a learner. */
+  /** Crashes two followers at the same time and replaces them by learners with empty disks. @returns the new ids */
   async replaceTwoFollowers(): Promise<string[]> {
     const { cluster } = this;
     await cluster.waitLeader();
@@ -170,56 +170,56 @@
     const lost = await Promise.all(
       followers.slice(0, 2).map(({ member }) => cluster.crash(member.id)),
     );
-    const renewed: string[] = [];
-    for (const member of lost) renewed.push(await this.replace(member));
-    return renewed;
+    const replacement: string[] = [];
+    for (const member of lost) replacement.push(await this.replace(member));
+    return replacement;
   }
 
-  /** A member that crashed loses its disk, and comes back as a new member, a learner. @returns its new id */
+  /** Replaces a crashed member by a learner with an empty disk. @returns the new id */
   async replace(lost: Member): Promise<string> {
     const { cluster } = this;
     const { group } = await cluster.waitLeader();
     await cluster.deleteDisk(lost);
-    const renewed = { ...lost, id: `${lost.name}-second`, role: 'learner' as const };
-    this.members.push(serveLedger(await cluster.start(renewed, false), cluster.network));
+    const replacement = { ...lost, id: `${lost.name}-second`, role: 'learner' as const };
+    this.members.push(serveLedger(await cluster.start(replacement, false), cluster.network));
     await waitUntil('settled', () => group.isConfigurationSettled);
-    await group.addMember(renewed);
-    return renewed.id;
+    await group.addMember(replacement);
+    return replacement.id;
   }
 
-  /** Whether a member holds the value of a turn. */
+  /** Whether a member stores the value of a turn. */
   hasValue(memberId: string, turn: string): boolean {
     const found = this.members.find(({ running }) => running.member.id === memberId);
     return found?.machine.values.has(turn) ?? false;
   }
 
-  /** Bytes of histories that the leader has sent, or all others together. */
+  /** Bytes of histories sent by the leader, or by all other members. */
   sentBy(isLeader: boolean): number {
     return this.members
       .filter(({ running }) => running.group.isLeader === isLeader)
       .reduce((sum, { service }) => sum + service.sentBytes.histories, 0);
   }
 
-  /** Followers know of the kept turn, but can't give it. */
+  /** Deletes the value of the kept turn at all followers; their state still refers to it. */
   async deleteAtFollowers(): Promise<void> {
-    await loseValue(this.members.filter(({ running }) => !running.group.isLeader));
+    await deleteValue(this.members.filter(({ running }) => !running.group.isLeader));
   }
 
-  /** All members know of the kept turn, and none can give it. */
+  /** Deletes the value of the kept turn at all members; their state still refers to it. */
   async deleteAtAll(): Promise<void> {
-    await loseValue(this.members);
+    await deleteValue(this.members);
   }
 
-  /** @returns the id of the only member that can still give the kept turn */
+  /** @returns the id of the only member that still stores the value of the kept turn */
   async deleteAtAllButOneFollower(): Promise<string> {
     const holder = this.members.find(({ running }) => !running.group.isLeader)!;
     await waitUntil('kept', () => holder.machine.values.has(KEPT_TURN.attempt));
-    await loseValue(this.members.filter((member) => member !== holder));
+    await deleteValue(this.members.filter((member) => member !== holder));
     return holder.running.member.id;
   }
 }
 
-async function loseValue(members: readonly LedgerMember[]): Promise<void> {
+async function deleteValue(members: readonly LedgerMember[]): Promise<void> {
   for (const { machine } of members) {
     await waitUntil('kept', () => machine.state.turns.has(KEPT_TURN.attempt));
     machine.values.delete(KEPT_TURN.attempt);
--- a/tests/support/loopback-network.ts
+++ b/tests/support/loopback-network.ts
@@ -1,7 +1,6 @@
 /**
- * A network inside one process: the real handlers, with messages encoded and decoded as on the wire,
- * but without sockets. Links can be cut, one way or both, and
- * a call whose handler takes longer than the caller waits times out, as on a real link.
+ * An in-process network: calls the real handlers with encoded messages, but without sockets. Links can be cut
+ * in one or both directions, and calls time out as on a real link.
  */
 import type { PeerCaller, PeerNotifier } from '../../src/consensus/index.js';
 import { TimeoutError, sleep } from '../../src/common/index.js';
@@ -32,34 +31,34 @@
 export class LoopbackNetwork {
   private readonly routers = new Map<string, MethodRouter>();
   private readonly cuts = new Set<string>();
-  /** Requests so far by receiver and method, as `address method`. */
+  /** Number of requests by receiver and method, with keys like `address method`. */
   readonly requests = new Map<string, number>();
 
   /**
    * @param delayMs one-way delay of every message, in milliseconds
-   * @param links what messages have to pass beside that; none by default
+   * @param links links with limited bandwidth @default unlimited
    */
   constructor(
     private readonly delayMs: (from: string, to: string) => number = () => 0,
     private readonly links?: MeteredLinks,
   ) {}
 
-  /** Makes an address answer with a router's methods. */
+  /** Serves the methods of a router at an address. */
   listen(address: string, router: MethodRouter): void {
     this.routers.set(address, router);
   }
 
-  /** Makes an address answer no more, as when its process has died. */
+  /** Stops serving at an address, as if its process had died. */
   remove(address: string): void {
     this.routers.delete(address);
   }
 
-  /** Drops all messages from one address to another, silently. */
+  /** Silently drops all messages from one address to another. */
   cut(from: string, to: string): void {
     this.cuts.add(`${from}>${to}`);
   }
 
-  /** Cuts an address off from all others, both ways. */
+  /** Drops all messages from and to an address. */
   isolate(address: string): void {
     this.cuts.add(`${address}>*`);
     this.cuts.add(`*>${address}`);
@@ -69,38 +68,38 @@
     this.cuts.clear();
   }
 
-  /** @param lane tells connections of one caller to the same peer apart */
+  /** @param lane distinguishes connections of one caller to the same peer */
   peersOf(ownAddress: string, lane = ''): PeerCaller {
     return {
       call: (address, method, request, options) =>
-        this.callInTime({ from: ownAddress, lane }, address, method, request, options),
+        this.callWithTimeout({ from: ownAddress, lane }, address, method, request, options),
       isConnected: (address) => this.routers.has(address),
     };
   }
 
-  /** Sends notices as `ownAddress`; they share its connections. */
+  /** Sends notices from `ownAddress` over the connections of its calls. */
   notifierOf(ownAddress: string): PeerNotifier {
     const { call } = this.peersOf(ownAddress);
     return {
       notify: (address, method, request) => {
-        // Nobody is told whether a notice arrived.
+        // Delivery of notices is not confirmed.
         void call(address, method, request, NOTICE_OPTIONS).catch(() => undefined);
       },
     };
   }
 
-  /** On metered links the way counts for the caller's limit as well as the handler. */
-  private callInTime<Request, Response>(
+  /** On metered links the timeout covers the transmission as well as the handler. */
+  private callWithTimeout<Request, Response>(
     caller: Caller,
     to: string,
     method: Method<Request, Response>,
     request: Request,
     options: CallOptions,
   ): Promise<Response> {
-    const answer = this.call(caller, to, method, request, options);
-    if (!this.links) return answer;
+    const response = this.call(caller, to, method, request, options);
+    if (!this.links) return response;
     const context = { step: method.name, peer: to, retriable: true };
-    return this.unlessLate(answer, options, context);
+    return this.withTimeout(response, options, context);
   }
 
   private async call<Request, Response>(
@@ -114,24 +113,24 @@
     const kind = `${to} ${method.name}`;
     this.requests.set(kind, (this.requests.get(kind) ?? 0) + 1);
     const handler = this.routers.get(to)?.find(method.name);
-    if (!handler) throw new LinkError('nobody listens', context);
+    if (!handler) throw new LinkError('no handler at this address', context);
     const requestBytes = encodeValue(request);
     const connection = `${from}>${to}${lane}`;
     await this.links?.carry(from, to, connection, requestBytes.length);
-    if (!(await this.carry(from, to))) return this.neverAnswers(options, context);
-    let answer: unknown;
+    if (!(await this.carry(from, to))) return this.timeOut(options, context);
+    let response: unknown;
     try {
       const answered = handler(decodeValue(requestBytes), { peerName: from });
-      answer = await this.unlessLate(Promise.resolve(answered), options, context);
+      response = await this.withTimeout(Promise.resolve(answered), options, context);
     } catch (error) {
       if (error instanceof TimeoutError) throw error;
       const { name, message } = error as Error;
       throw new RemoteError(message, name, context);
     }
-    const answerBytes = encodeValue(answer);
-    await this.links?.carry(to, from, connection, answerBytes.length);
-    if (!(await this.carry(to, from))) return this.neverAnswers(options, context);
-    return decodeValue<Response>(answerBytes);
+    const responseBytes = encodeValue(response);
+    await this.links?.carry(to, from, connection, responseBytes.length);
+    if (!(await this.carry(to, from))) return this.timeOut(options, context);
+    return decodeValue<Response>(responseBytes);
   }
 
   private async carry(from: string, to: string): Promise<boolean> {
@@ -141,21 +140,21 @@
     return !isCut;
   }
 
-  private async unlessLate<Response>(
-    answer: Promise<Response>,
+  private async withTimeout<Response>(
+    response: Promise<Response>,
     options: CallOptions,
     context: CallContext,
   ): Promise<Response> {
     const answered = new AbortController();
     try {
-      return await Promise.race([answer, this.neverAnswers(options, context, answered.signal)]);
+      return await Promise.race([response, this.timeOut(options, context, answered.signal)]);
     } finally {
       answered.abort();
     }
   }
 
-  /** @param answered ends the wait of a call that has its answer: many calls a second leave no timers behind */
-  private async neverAnswers(
+  /** @param answered cancels the timer once the call has its response */
+  private async timeOut(
     options: CallOptions,
     context: CallContext,
     answered?: AbortSignal,
--- a/tests/support/memory-files.ts
+++ b/tests/support/memory-files.ts
@@ -1,16 +1,16 @@
 /**
- * Stands in for `node:fs/promises` as logs and snapshots use it: files in memory, whose syncs take a stated time. With
- * simulated time a test then waits for no disk of the machine.
+ * Replaces `node:fs/promises` for logs and snapshots by files in memory whose syncs take a fixed time, so that tests
+ * with simulated time do not depend on the disk.
  *
  *     vi.mock('node:fs/promises', () => import('../../tests/support/memory-files.js'));
  */
 import { dirname } from 'node:path';
 import { sleep } from '../../src/common/index.js';
 
-/** What a sync of a file or a folder takes: that of a flash disk beside other work. */
+/** Duration of a sync, like that of a flash disk under load. */
 export const SYNC_DURATION_MS = 2;
 
-const FIRST_CAPACITY_BYTES = 4_096;
+const INITIAL_CAPACITY_BYTES = 4_096;
 
 class MemoryFile {
   private buffer = Buffer.alloc(0);
@@ -33,13 +33,15 @@
   }
 
   private grow(neededBytes: number): void {
-    const grown = Buffer.alloc(Math.max(neededBytes, 2 * this.buffer.length, FIRST_CAPACITY_BYTES));
+    const grown = Buffer.alloc(
+      Math.max(neededBytes, 2 * this.buffer.length, INITIAL_CAPACITY_BYTES),
+    );
     grown.set(this.content);
     this.buffer = grown;
   }
 }
 
-/** The calls of a `FileHandle` that logs and snapshots make. */
+/** The part of `FileHandle` that logs and snapshots use. */
 class MemoryHandle {
   private position = 0;
 
@@ -97,32 +99,32 @@
   return path === folder || path.startsWith(`${folder}/`);
 }
 
-function missing(path: string): Error {
+function noSuchFileError(path: string): Error {
   return Object.assign(new Error(`ENOENT: no such file, '${path}'`), { code: 'ENOENT' });
 }
 
 function fileAt(path: string): MemoryFile {
   const file = files.get(path);
-  if (!file) throw missing(path);
+  if (!file) throw noSuchFileError(path);
   return file;
 }
 
-/** @param flags 'w' empties the file or makes it */
+/** @param flags 'w' truncates or creates the file */
 export async function open(path: string, flags: 'r' | 'r+' | 'w'): Promise<MemoryHandle> {
   if (folders.has(path)) return new MemoryHandle(new MemoryFile());
   if (flags === 'w') files.set(path, new MemoryFile());
   return new MemoryHandle(fileAt(path));
 }
 
-/** @returns the first folder that was made */
+/** @returns the first created folder */
 export async function mkdir(path: string): Promise<string | undefined> {
-  let firstMade: string | undefined;
+  let firstCreated: string | undefined;
   for (let folder = path; !folders.has(folder); folder = dirname(folder)) {
     folders.add(folder);
     if (folder === dirname(folder)) break;
-    firstMade = folder;
+    firstCreated = folder;
   }
-  return firstMade;
+  return firstCreated;
 }
 
 export async function readdir(path: string): Promise<string[]> {
@@ -144,7 +146,7 @@
   files.delete(from);
 }
 
-/** Removes a file, or a folder with all that is in it. */
+/** Removes a file, or a folder with its content. */
 export async function rm(path: string): Promise<void> {
   for (const name of files.keys()) if (isIn(path, name)) files.delete(name);
   for (const name of folders) if (isIn(path, name)) folders.delete(name);
--- a/tests/support/memory-values.ts
+++ b/tests/support/memory-values.ts
@@ -1,4 +1,4 @@
-/** Values of kept turns in memory, for tests of what only needs them to be there. */
+/** An in-memory store for values of kept turns. */
 import type { TurnValueStore } from '../../src/ledger/index.js';
 
 export class MemoryValues implements TurnValueStore {
--- a/tests/support/metered-links.ts
+++ b/tests/support/metered-links.ts
@@ -1,60 +1,59 @@
 /**
- * Links with a bounded number of bytes a second, as machines have: everything that a machine sends
- * leaves through one link, and everything it receives comes through another. Each connection has no
- * more than a window of bytes under way, so that connections share a full link fairly.
+ * Simulated links with limited bandwidth. Each machine has one link for outgoing and one for incoming data.
+ * A window limits the bytes in flight of each connection, so that connections share a saturated link fairly.
  */
 import { monotonicMs, sleep } from '../../src/common/index.js';
 
 export interface MeteredLinksOptions {
-  /** Of each machine's link, one way. */
+  /** Bandwidth of each machine's link, in one direction. */
   bytesPerSecond: number;
-  /** Of the links of some machines. @default as for all */
+  /** Bandwidth of particular machines. @default `bytesPerSecond` */
   slower?: ReadonlyMap<string, number>;
-  /** Time from one machine to another, in milliseconds. */
+  /** One-way latency between machines, in milliseconds. */
   latencyMs: number;
 }
 
-/** Bytes of one connection that may be under way at a time. */
+/** Maximum bytes in flight of one connection. */
 const WINDOW_BYTES = 64 * 1024;
 
 export class MeteredLinks {
   private readonly freeAt = new Map<string, number>();
-  /** The latest message of each connection and direction; the next begins behind it. */
+  /** Latest message of each connection and direction; the next one is sent after it. */
   private readonly latest = new Map<string, Promise<void>>();
 
   private readonly sentBytes = new Map<string, number>();
 
   constructor(private readonly options: MeteredLinksOptions) {}
 
-  /** Bytes that a machine has sent so far, or that are on its link now. */
+  /** Bytes that a machine has sent or is sending. */
   sentBy(machine: string): number {
     return this.sentBytes.get(machine) ?? 0;
   }
 
   /**
    * Resolves when a message has arrived.
-   * @param connection names the connection; messages of one direction keep their order
+   * @param connection name of the connection; it preserves the order of messages in each direction
    */
   carry(from: string, to: string, connection: string, bytes: number): Promise<void> {
     const key = `${connection} ${from}>${to}`;
     const earlier = this.latest.get(key) ?? Promise.resolve();
-    const carried = earlier.then(() => this.carryNow(from, to, bytes));
+    const carried = earlier.then(() => this.transmit(from, to, bytes));
     this.latest.set(key, carried);
     return carried;
   }
 
-  private async carryNow(from: string, to: string, bytes: number): Promise<void> {
+  private async transmit(from: string, to: string, bytes: number): Promise<void> {
     for (let left = bytes; left > 0; left -= WINDOW_BYTES) {
       const size = Math.min(left, WINDOW_BYTES);
       this.sentBytes.set(from, this.sentBy(from) + size);
-      const leftAt = this.passLink('out', from, monotonicMs(), size);
-      const arrivesAt = this.passLink('in', to, leftAt + this.options.latencyMs, size);
+      const leftAt = this.occupyLink('out', from, monotonicMs(), size);
+      const arrivesAt = this.occupyLink('in', to, leftAt + this.options.latencyMs, size);
       await sleep(Math.max(0, arrivesAt - monotonicMs()));
     }
   }
 
-  /** @returns when the last byte has passed a machine's link that it reaches at `reachedAt` */
-  private passLink(way: 'in' | 'out', machine: string, reachedAt: number, bytes: number): number {
+  /** @returns the time at which the last byte has passed the link, if the first arrives at `reachedAt` */
+  private occupyLink(way: 'in' | 'out', machine: string, reachedAt: number, bytes: number): number {
     const { slower, bytesPerSecond } = this.options;
     const rate = slower?.get(machine) ?? bytesPerSecond;
     const link = `${way} ${machine}`;
--- a/tests/support/program-simulation.ts
+++ b/tests/support/program-simulation.ts
@@ -1,4 +1,4 @@
-/** Programs of one tenant at one gateway beside a leader, on simulated time: how many come to their end. */
+/** Simulates programs of one tenant at one gateway and counts how many complete under a limit. */
 import { SeededRandom } from '../../src/common/random.js';
 import { GatewayShares } from '../../src/quotas/gateway-shares.js';
 import { ShareRegistry } from '../../src/quotas/share-registry.js';
@@ -10,46 +10,46 @@
 const STEP_MS = 5;
 const LENGTH_MS = 30_000;
 const WARM_UP_MS = 3_000;
-const ASK_EVERY_MS = 200;
+const REPORT_INTERVAL_MS = 200;
 const LEASE_MS = 3_500;
-/** A call that is refused comes back so often at most, when it was told to. */
-const MAX_RETURNS = 3;
+/** Maximum retries of a rejected call. */
+const MAX_RETRIES = 3;
 
 interface Program {
   callsLeft: number;
-  returns: number;
+  retries: number;
   dueAt: number;
 }
 
 export interface ProgramsOutcome {
   started: number;
   completed: number;
-  /** Programs that the limit bears. */
+  /** Programs that the limit allows to complete. */
   sustainable: number;
 }
 
 /**
- * @param load calls of all programs that come, as a multiple of the limit
- * @param tellsFirstCalls whether first calls are told apart
+ * @param load calls of all started programs, as a multiple of the limit
+ * @param distinguishesFirstCalls whether the first call of a program is treated differently
  */
-export function runPrograms(load: number, tellsFirstCalls = true): ProgramsOutcome {
+export function runPrograms(load: number, distinguishesFirstCalls = true): ProgramsOutcome {
   const random = new SeededRandom(4);
   const shares = new GatewayShares();
-  const board = new ShareRegistry({
+  const registry = new ShareRegistry({
     tolerance: TOLERANCE,
     leaseMs: LEASE_MS,
     overlapMs: 0,
     mayShare: () => true,
   });
-  board.begin({ gateways: [], tenants: [] }, 0);
-  board.setLimits([LIMIT], 0);
+  registry.begin({ gateways: [], tenants: [] }, 0);
+  registry.setLimits([LIMIT], 0);
   const programsPerStep = (load * LIMIT.ratePerSecond * STEP_MS) / 1_000 / CALLS_IN_PROGRAM;
   let programs: Program[] = [];
   let sequence = 0;
   let started = 0;
   let completed = 0;
   for (let now = 0; now < LENGTH_MS; now += STEP_MS) {
-    if (now % ASK_EVERY_MS === 0) {
+    if (now % REPORT_INTERVAL_MS === 0) {
       const request = {
         gateway: 'g',
         incarnation: '1',
@@ -57,17 +57,17 @@
         held: shares.held(now),
         isPartial: false,
       };
-      shares.applyGrants(board.report(request, now)!, now + LEASE_MS, now);
+      shares.applyGrants(registry.report(request, now)!, now + LEASE_MS, now);
     }
     if (now >= WARM_UP_MS && random.chance(programsPerStep)) {
       started += 1;
-      programs.push({ callsLeft: CALLS_IN_PROGRAM, returns: 0, dueAt: now });
+      programs.push({ callsLeft: CALLS_IN_PROGRAM, retries: 0, dueAt: now });
     }
     for (const program of programs) {
-      if (program.dueAt <= now) step(program, shares, now, tellsFirstCalls);
+      if (program.dueAt <= now) step(program, shares, now, distinguishesFirstCalls);
     }
     completed += programs.filter(({ callsLeft }) => callsLeft === 0).length;
-    programs = programs.filter(({ callsLeft, returns }) => callsLeft > 0 && returns <= MAX_RETURNS);
+    programs = programs.filter(({ callsLeft, retries }) => callsLeft > 0 && retries <= MAX_RETRIES);
   }
   const seconds = (LENGTH_MS - WARM_UP_MS) / 1_000;
   const sustainable = Math.min(started, (LIMIT.ratePerSecond * seconds) / CALLS_IN_PROGRAM);
@@ -78,16 +78,16 @@
   program: Program,
   shares: GatewayShares,
   now: number,
-  tellsFirstCalls: boolean,
+  distinguishesFirstCalls: boolean,
 ): void {
-  const isFirst = tellsFirstCalls && program.callsLeft === CALLS_IN_PROGRAM;
+  const isFirst = distinguishesFirstCalls && program.callsLeft === CALLS_IN_PROGRAM;
   shares.noteCall(LIMIT.name, now);
   if (shares.take(LIMIT.name, isFirst, now)) {
     program.callsLeft -= 1;
-    program.returns = 0;
+    program.retries = 0;
     program.dueAt = now + PAUSE_MS;
     return;
   }
-  program.returns += 1;
+  program.retries += 1;
   program.dueAt = now + shares.retryAfterMs(LIMIT.name, now);
 }
--- a/tests/support/quota-simulation.ts
+++ b/tests/support/quota-simulation.ts
@@ -1,6 +1,6 @@
 /**
- * Gateways and leaders that share tenants' limits, on simulated time: the real board and the real shares, with
- * messages that take time or are lost, gateways and leaders that go, and tenants whose callers move.
+ * Simulates gateways and leaders that share the limits of tenants: the real registry and shares, with message delay
+ * and loss, failures of gateways and leaders, and tenants whose calls move between gateways.
  */
 import { SeededRandom } from '../../src/common/random.js';
 import type { HeldShare, SharesResponse } from '../../src/quotas/messages.js';
@@ -12,18 +12,18 @@
 export const TOLERANCE = { over: 0.1, slack: 20, windowMs: WINDOW_MS };
 const LEASE_MS = 3_500;
 const STEP_MS = 5;
-const WAIT_MS = 250;
-const REGULAR_MS = 500;
-const SHORTEST_MS = 40;
-/** A leader that is cut off answers on for so long at most: until it steps down. */
+const MAX_WAIT_MS = 250;
+const FULL_REPORT_INTERVAL_MS = 500;
+const MIN_REPORT_INTERVAL_MS = 40;
+/** Maximum time for which a partitioned leader still responds before it steps down. */
 const STEP_DOWN_MS = 300;
 
 export interface SimulatedTenant {
   name: string;
   limit: TenantLimit;
-  /** Calls a second, as a multiple of the limit's rate, by time. */
+  /** Call rate over time, as a multiple of the limit's rate. */
   load: (atMs: number) => number;
-  /** Gateways that its callers come through, by index. */
+  /** Indexes of the gateways that receive its calls. */
   gateways: number[];
 }
 
@@ -43,29 +43,29 @@
 }
 
 export interface TenantOutcome {
-  /** Times at which calls passed, in milliseconds. */
+  /** Times of admitted calls, in milliseconds. */
   passedAt: number[];
-  /** Calls that one central bucket with the limit would have let pass. */
+  /** Calls that one central token bucket would have admitted. */
   idealCount: number;
   callCount: number;
   waited: number;
 }
 
-interface Answer extends SharesResponse {
-  askedAt: number;
+interface DelayedResponse extends SharesResponse {
+  sentAt: number;
   arrivesAt: number;
 }
 
 interface Leader {
   term: number;
-  board: ShareRegistry;
+  registry: ShareRegistry;
   leadsFrom: number;
-  /** Until when a majority answers it. */
+  /** Time until which a majority confirms its leadership. */
   confirmedUntil: number;
-  answersUntil: number;
+  respondsUntil: number;
 }
 
-interface Question {
+interface ShareReport {
   index: number;
   gateway: SimulatedGateway;
   held: HeldShare[];
@@ -84,10 +84,10 @@
   term = 0;
   upAt = 0;
   cutUntil = 0;
-  askedAt = Number.NEGATIVE_INFINITY;
-  toldAllAt = Number.NEGATIVE_INFINITY;
-  isNeeded = false;
-  answer: Answer | undefined;
+  reportedAt = Number.NEGATIVE_INFINITY;
+  fullReportAt = Number.NEGATIVE_INFINITY;
+  isReportNeeded = false;
+  response: DelayedResponse | undefined;
   waiting: Waiting[] = [];
 
   restart(upAt: number): void {
@@ -95,11 +95,11 @@
     this.incarnation += 1;
     this.sequence = 0;
     this.term = 0;
-    this.answer = undefined;
+    this.response = undefined;
     this.waiting = [];
     this.upAt = upAt;
-    this.askedAt = Number.NEGATIVE_INFINITY;
-    this.toldAllAt = Number.NEGATIVE_INFINITY;
+    this.reportedAt = Number.NEGATIVE_INFINITY;
+    this.fullReportAt = Number.NEGATIVE_INFINITY;
   }
 }
 
@@ -111,7 +111,7 @@
   private readonly ideal: { tokens: number; at: number }[];
   private readonly limits: TenantLimit[];
   private leaders: Leader[] = [];
-  private readonly holders = new Set<string>();
+  private readonly gatewayNames = new Set<string>();
   private readonly sharedTenants = new Set<string>();
   private term = 0;
   private leaderlessUntil = 0;
@@ -143,12 +143,12 @@
   private apply(event: SimulatedEvent, now: number): void {
     if (event.kind === 'kill-gateway') this.gateways[event.gateway]!.restart(now + event.forMs);
     if (event.kind === 'cut-gateway') this.gateways[event.gateway]!.cutUntil = now + event.forMs;
-    if (event.kind === 'lower-limit') this.lower(event.tenant, event.factor, now);
+    if (event.kind === 'lower-limit') this.lowerLimit(event.tenant, event.factor, now);
     if (event.kind !== 'change-leader') return;
     const leader = this.leaders.at(-1);
     if (leader) {
       leader.confirmedUntil = now;
-      leader.answersUntil = now + Math.min(STEP_DOWN_MS, event.overlapMs);
+      leader.respondsUntil = now + Math.min(STEP_DOWN_MS, event.overlapMs);
     }
     this.leaderlessUntil = now + event.withoutMs;
   }
@@ -157,33 +157,33 @@
     this.term += 1;
     this.leaderlessUntil = 0;
     const { headroom } = this.options;
-    const board = new ShareRegistry({
+    const registry = new ShareRegistry({
       tolerance: TOLERANCE,
       leaseMs: LEASE_MS,
       overlapMs: STEP_DOWN_MS,
       mayShare: (tenant) => this.sharedTenants.has(tenant),
       headroom,
     });
-    board.begin({ gateways: this.holders, tenants: this.sharedTenants }, now);
-    board.setLimits(this.namedLimits(), now);
+    registry.begin({ gateways: this.gatewayNames, tenants: this.sharedTenants }, now);
+    registry.setLimits(this.limitsWithNames(), now);
     const leader: Leader = {
       term: this.term,
-      board,
+      registry,
       leadsFrom: now,
       confirmedUntil: Infinity,
-      answersUntil: Infinity,
+      respondsUntil: Infinity,
     };
     this.leaders = [...this.leaders.slice(-1), leader];
   }
 
-  private namedLimits() {
+  private limitsWithNames() {
     return this.options.tenants.map(({ name }, index) => ({ name, ...this.limits[index]! }));
   }
 
-  private lower(tenant: number, factor: number, now: number): void {
+  private lowerLimit(tenant: number, factor: number, now: number): void {
     const { ratePerSecond, burst } = this.limits[tenant]!;
     this.limits[tenant] = { ratePerSecond: ratePerSecond * factor, burst: burst * factor };
-    for (const { board } of this.leaders) board.setLimits(this.namedLimits(), now);
+    for (const { registry } of this.leaders) registry.setLimits(this.limitsWithNames(), now);
     const { name } = this.options.tenants[tenant]!;
     for (const { shares } of this.gateways) shares.scaleDown(name, factor, now);
   }
@@ -191,63 +191,75 @@
   private stepGateway(index: number, now: number): void {
     const gateway = this.gateways[index]!;
     if (now < gateway.upAt) return;
-    if (gateway.answer && now >= gateway.answer.arrivesAt) this.takeAnswer(gateway, now);
+    if (gateway.response && now >= gateway.response.arrivesAt) this.receiveResponse(gateway, now);
     this.serveWaiting(gateway, now);
-    const sinceAskedMs = now - gateway.askedAt;
+    const sinceReportMs = now - gateway.reportedAt;
     const isDue =
-      now - gateway.toldAllAt >= REGULAR_MS ||
-      (gateway.isNeeded && sinceAskedMs >= SHORTEST_MS) ||
+      now - gateway.fullReportAt >= FULL_REPORT_INTERVAL_MS ||
+      (gateway.isReportNeeded && sinceReportMs >= MIN_REPORT_INTERVAL_MS) ||
       gateway.shares.isAnyWaiting;
-    if (isDue && !gateway.answer) this.ask(index, gateway, now);
+    if (isDue && !gateway.response) this.sendReport(index, gateway, now);
   }
 
-  private ask(index: number, gateway: SimulatedGateway, now: number): void {
-    const isPartial = now - gateway.toldAllAt < REGULAR_MS && gateway.shares.isLeased(now);
+  private sendReport(index: number, gateway: SimulatedGateway, now: number): void {
+    const isPartial =
+      now - gateway.fullReportAt < FULL_REPORT_INTERVAL_MS && gateway.shares.isLeased(now);
     const held = isPartial ? gateway.shares.heldByLowTenants(now) : gateway.shares.held(now);
-    if (!isPartial) gateway.toldAllAt = now;
-    gateway.isNeeded = false;
-    gateway.askedAt = now;
+    if (!isPartial) gateway.fullReportAt = now;
+    gateway.isReportNeeded = false;
+    gateway.reportedAt = now;
     gateway.sequence += 1;
     this.reportCount += 1;
     if (now < gateway.cutUntil) return;
     const leader = this.leaderFor(now);
     if (!leader) return;
-    const wayMs = 1 + this.random.uniform() * 8;
-    gateway.answer = this.answerOf(leader, { index, gateway, held, isPartial }, now, now + wayMs);
+    const delayMs = 1 + this.random.uniform() * 8;
+    gateway.response = this.handleReport(
+      leader,
+      { index, gateway, held, isPartial },
+      now,
+      now + delayMs,
+    );
   }
 
-  /** Some hear a leader that has been followed by another one already. */
+  /** Picks a responding leader, which may already have a successor. */
   private leaderFor(now: number): Leader | undefined {
-    const answering = this.leaders.filter(
-      ({ leadsFrom, answersUntil }) => leadsFrom <= now && now < answersUntil,
+    const responding = this.leaders.filter(
+      ({ leadsFrom, respondsUntil }) => leadsFrom <= now && now < respondsUntil,
     );
-    return answering[Math.floor(this.random.uniform() * answering.length)];
+    return responding[Math.floor(this.random.uniform() * responding.length)];
   }
 
-  private answerOf(
-    { board, term, confirmedUntil }: Leader,
-    { index, gateway: { incarnation, sequence }, held, isPartial }: Question,
-    askedAt: number,
+  private handleReport(
+    { registry, term, confirmedUntil }: Leader,
+    { index, gateway: { incarnation, sequence }, held, isPartial }: ShareReport,
+    sentAt: number,
     at: number,
-  ): Answer {
+  ): DelayedResponse {
     const gateway = `gateway-${index}`;
-    this.holders.add(gateway);
+    this.gatewayNames.add(gateway);
     const request = { gateway, incarnation: String(incarnation), sequence, held, isPartial };
-    const shares = board.report(request, at);
-    for (const tenant of board.takePendingTenants()) this.sharedTenants.add(tenant);
+    const shares = registry.report(request, at);
+    for (const tenant of registry.takePendingTenants()) this.sharedTenants.add(tenant);
     const confirmedAgeMs = Math.max(0, at - confirmedUntil);
-    return { term, confirmedAgeMs, shares, askedAt, arrivesAt: at + 1 + this.random.uniform() * 8 };
+    return {
+      term,
+      confirmedAgeMs,
+      shares,
+      sentAt,
+      arrivesAt: at + 1 + this.random.uniform() * 8,
+    };
   }
 
-  private takeAnswer(gateway: SimulatedGateway, now: number): void {
-    const answer = gateway.answer!;
-    gateway.answer = undefined;
-    const isLate = answer.confirmedAgeMs > STEP_DOWN_MS;
-    if (now < gateway.cutUntil || isLate || answer.term < gateway.term) return;
-    gateway.term = answer.term;
-    const leaseEndsAt = answer.askedAt - answer.confirmedAgeMs + LEASE_MS;
-    if (!answer.shares) gateway.toldAllAt = Number.NEGATIVE_INFINITY;
-    else if (leaseEndsAt > now) gateway.shares.applyGrants(answer.shares, leaseEndsAt, now);
+  private receiveResponse(gateway: SimulatedGateway, now: number): void {
+    const response = gateway.response!;
+    gateway.response = undefined;
+    const isLate = response.confirmedAgeMs > STEP_DOWN_MS;
+    if (now < gateway.cutUntil || isLate || response.term < gateway.term) return;
+    gateway.term = response.term;
+    const leaseEndsAt = response.sentAt - response.confirmedAgeMs + LEASE_MS;
+    if (!response.shares) gateway.fullReportAt = Number.NEGATIVE_INFINITY;
+    else if (leaseEndsAt > now) gateway.shares.applyGrants(response.shares, leaseEndsAt, now);
   }
 
   private serveWaiting(gateway: SimulatedGateway, now: number): void {
@@ -266,11 +278,11 @@
     const expected = (load(now) * limit.ratePerSecond * STEP_MS) / 1_000;
     let calls = Math.floor(expected) + (this.random.uniform() < expected % 1 ? 1 : 0);
     for (; calls > 0; calls -= 1) {
-      const living = gateways.filter((gateway) => now >= this.gateways[gateway]!.upAt);
-      // Callers of a lost gateway come through others.
+      const available = gateways.filter((gateway) => now >= this.gateways[gateway]!.upAt);
+      // Calls to a failed gateway are sent to others.
       const via =
-        living.length > 0
-          ? living
+        available.length > 0
+          ? available
           : [...this.gateways.keys()].filter((gateway) => now >= this.gateways[gateway]!.upAt);
       const chosen = via[Math.floor(this.random.uniform() * via.length)];
       if (chosen !== undefined) this.call(index, this.gateways[chosen]!, now);
@@ -281,21 +293,21 @@
     const { name } = this.options.tenants[index]!;
     const outcome = this.outcomes[index]!;
     outcome.callCount += 1;
-    if (this.isOwed(index, now)) outcome.idealCount += 1;
+    if (this.takeIdealToken(index, now)) outcome.idealCount += 1;
     const { shares } = gateway;
     shares.noteCall(name, now);
     const isTaken = shares.take(name, false, now);
-    if (shares.isLow(name, now)) gateway.isNeeded = true;
+    if (shares.isLow(name, now)) gateway.isReportNeeded = true;
     if (isTaken) outcome.passedAt.push(now);
     else if (!shares.isScarce(name, now)) {
       outcome.waited += 1;
       shares.noteWaiting(name, 1, now);
-      gateway.waiting.push({ tenant: index, until: now + WAIT_MS });
+      gateway.waiting.push({ tenant: index, until: now + MAX_WAIT_MS });
     }
   }
 
-  /** Whether one bucket for all gateways would let the call pass. */
-  private isOwed(index: number, now: number): boolean {
+  /** Takes a token from the ideal central bucket. @returns whether it had one */
+  private takeIdealToken(index: number, now: number): boolean {
     const { ratePerSecond, burst } = this.limits[index]!;
     const ideal = this.ideal[index]!;
     ideal.tokens = Math.min(burst, ideal.tokens + ((now - ideal.at) / 1_000) * ratePerSecond);
@@ -306,7 +318,7 @@
   }
 }
 
-/** Most calls in any window. */
+/** Maximum number of calls in any window. */
 export function maxInWindow(passedAt: readonly number[], windowMs = WINDOW_MS): number {
   let most = 0;
   let first = 0;
--- a/tests/support/raw-backend.ts
+++ b/tests/support/raw-backend.ts
@@ -1,29 +1,29 @@
-/** A back end for tests that answers every request with bytes and socket events of a script. */
+/** A backend for tests that responds to each request with scripted bytes and socket events. */
 import { type AddressInfo, type Server, type Socket, createServer } from 'node:net';
 import { setImmediate as nextPoll } from 'node:timers/promises';
 import { sleep } from '../../src/common/index.js';
 
-/** One thing that the back end does on the connection of a request. */
+/** One step of the script, performed on the connection of the request. */
 export type ScriptStep =
   | { kind: 'write'; bytes: string }
   | { kind: 'wait'; ms: number }
-  /** Orderly close: everything written before arrives, then the end of the stream (FIN). */
+  /** Graceful close (FIN) after all written data. */
   | { kind: 'close' }
-  /** Abortive close: the other side sees ECONNRESET (RST). */
+  /** Abortive close (RST), which the peer sees as ECONNRESET. */
   | { kind: 'reset' };
 
-/** Long enough for bytes that were written to be read before a reset overtakes them. */
-const DELIVERY_MS = 15;
+/** Allows the peer to read written bytes before the reset discards them. */
+const RESET_DELAY_MS = 15;
 const END_OF_HEAD = '\r\n\r\n';
 
 export const write = (bytes: string): ScriptStep => ({ kind: 'write', bytes });
 export const wait = (ms: number): ScriptStep => ({ kind: 'wait', ms });
 export const close: ScriptStep = { kind: 'close' };
-/** A reset after what was written has been read. */
-export const reset: readonly ScriptStep[] = [wait(DELIVERY_MS), { kind: 'reset' }];
+/** A reset after the peer has read the written bytes. */
+export const reset: readonly ScriptStep[] = [wait(RESET_DELAY_MS), { kind: 'reset' }];
 
 export class RawBackend {
-  /** Heads of the requests that arrived, in order. */
+  /** Heads of the received requests, in order. */
   readonly requests: string[] = [];
   private readonly sockets = new Set<Socket>();
 
@@ -32,7 +32,7 @@
     private readonly script: (request: string, number: number) => readonly ScriptStep[],
   ) {}
 
-  /** @param script what to do about a request, by its head and its number, from 0 */
+  /** @param script returns the steps for a request, given its head and its number, starting at 0 */
   static async start(
     script: (request: string, number: number) => readonly ScriptStep[],
   ): Promise<RawBackend> {
@@ -61,7 +61,7 @@
     socket.on('error', () => undefined);
     socket.on('close', () => this.sockets.delete(socket));
     let received = '';
-    // One request at a time: what follows an answer never lands inside the next one.
+    // Serialized, so that the bytes of responses do not interleave.
     let played = Promise.resolve();
     socket.on('data', (chunk: Buffer) => {
       received += chunk.toString('latin1');
@@ -83,7 +83,7 @@
     }
   }
 
-  /** Waits, and lets this process read its sockets at least once however late the timer is. */
+  /** Waits, and lets this process poll its sockets at least once even if the timer is late. */
   private async wait(ms: number): Promise<void> {
     await sleep(ms);
     await nextPoll();
--- a/tests/support/raw-sends.ts
+++ b/tests/support/raw-sends.ts
@@ -1,4 +1,4 @@
-/** Sends single calls to a `RawBackend`, through the connections and the code that forwards calls. */
+/** Sends single calls to a `RawBackend` through the real connection pool and forwarding code. */
 import type { BackendConnectionPool } from '../../src/forwarding/backend-connections.js';
 import type { BackendProtocol } from '../../src/forwarding/index.js';
 import { SendAttempt, type SendResult } from '../../src/forwarding/send-attempt.js';
@@ -6,7 +6,7 @@
 
 const HTTP_MISDIRECTED = 421;
 
-/** Lines by which an answer of the back end names its call and itself. */
+/** Response header lines that identify the call and the backend. */
 export function identityHeaderLines(callId: string): string[] {
   return [`X-Call: ${callId}`, 'X-Stamp: s'];
 }
@@ -26,11 +26,11 @@
   id: string;
   /** @default GET */
   method?: string;
-  /** Called with each part of the body; returns whether to go on reading. @default goes on */
+  /** Called for each chunk of the body; returns whether to continue reading. @default always */
   shouldContinue?: (attempt: SendAttempt) => boolean;
 }
 
-/** What the forwarding code has of an answer in the end. */
+/** Result of the forwarding code and the received body. */
 export interface RawOutcome {
   result: SendResult;
   body: string;
--- a/tests/support/sample-call.ts
+++ b/tests/support/sample-call.ts
@@ -1,8 +1,8 @@
-/** Calls as the product sees them, for tests of what only looks at a part of a call. */
+/** Sample calls for tests that need only some of their properties. */
 import type { CallDescription } from '../../src/forwarding/call-exchange.js';
 
-/** @param special what matters to the test; the rest is a plain call's */
-export function sampleCall(special: Partial<CallDescription> = {}): CallDescription {
+/** @param overrides properties that differ from a plain call */
+export function sampleCall(overrides: Partial<CallDescription> = {}): CallDescription {
   return {
     id: 'c',
     host: 'h',
@@ -13,6 +13,6 @@
     body: Buffer.alloc(0),
     mostTokens: 0,
     promptParts: [],
-    ...special,
+    ...overrides,
   };
 }
--- a/tests/support/silencing-relay.ts
+++ b/tests/support/silencing-relay.ts
@@ -1,23 +1,22 @@
-/** A TCP relay whose connections can go silent for good without a reset, as after a lost machine or path. */
+/** A TCP relay that can silence connections without a reset, like a lost machine or network path. */
 import { type AddressInfo, type Socket, connect, createServer } from 'node:net';
 import { onTestFinished } from 'vitest';
 import { monotonicMs } from '../../src/common/index.js';
 
-/** One connection through the relay. */
 interface RelayedConnection {
   isSilent: boolean;
 }
 
 export class SilencingRelay {
-  /** Connections taken so far. */
+  /** Number of accepted connections. */
   connections = 0;
-  /** Connections that the near side has open. */
+  /** Number of connections that are open on the client side. */
   open = 0;
   address = '';
   private readonly relayed = new Set<RelayedConnection>();
   private silentUntil = 0;
 
-  /** @param targetPort on the loopback address */
+  /** @param targetPort port on the loopback address */
   static async start(targetPort: number): Promise<SilencingRelay> {
     const relay = new SilencingRelay();
     const server = createServer((near) => relay.carry(near, targetPort));
@@ -28,8 +27,8 @@
   }
 
   /**
-   * All open connections carry nothing more from now on, and are not closed. Those that are opened within
-   * the time are taken, and carry nothing either, ever.
+   * Silences all open connections permanently without closing them, and those that are opened within
+   * `newConnectionsMs`.
    */
   silence(newConnectionsMs: number): void {
     for (const connection of this.relayed) connection.isSilent = true;
@@ -42,8 +41,8 @@
     const connection: RelayedConnection = { isSilent: monotonicMs() < this.silentUntil };
     this.relayed.add(connection);
     const far = connect({ host: '127.0.0.1', port: targetPort });
-    pass(connection, near, far);
-    pass(connection, far, near);
+    forward(connection, near, far);
+    forward(connection, far, near);
     near.on('close', () => (this.open -= 1));
     onTestFinished(() => {
       near.destroy();
@@ -52,8 +51,8 @@
   }
 }
 
-/** Carries bytes and the end of one side to the other, unless the connection has gone silent. */
-function pass(connection: RelayedConnection, from: Socket, to: Socket): void {
+/** Forwards data and close from one side to the other, unless the connection is silent. */
+function forward(connection: RelayedConnection, from: Socket, to: Socket): void {
   from.on('error', () => undefined);
   from.on('data', (bytes: Buffer) => {
     if (!connection.isSilent && !to.destroyed) to.write(bytes);
--- a/tests/support/simulated-disk-cluster.ts
+++ b/tests/support/simulated-disk-cluster.ts
@@ -1,6 +1,6 @@
 /**
- * The members of the ledger's group, each on a simulated disk of its own: they can be killed, lose their power or
- * their disks, and come back, at any moment.
+ * Members of the ledger group, each on its own simulated disk. They can be killed, lose power or their disk, and
+ * restart at any time.
  */
 import { describeError, monotonicMs } from '../../src/common/index.js';
 import {
@@ -19,16 +19,16 @@
 const TRY_TIMEOUT_MS = 200;
 
 export interface DiskClusterOptions {
-  /** Tells the disks of clusters apart that run at the same time. */
+  /** Distinguishes the disks of concurrent clusters. */
   name: string;
   seed: number;
   consensus: CheckedConsensusOptions;
-  /** Longest time that a sync takes, in milliseconds. */
+  /** Maximum duration of a sync, in milliseconds. */
   maxSyncMs: number;
   nameDurability?: NameDurability;
 }
 
-/** A member that takes part in its group. */
+/** A member that has joined its group. */
 export interface ServingMember {
   process: DiskMember;
   group: ReplicatedGroup;
@@ -36,11 +36,11 @@
 
 export class DiskCluster {
   readonly network = new LoopbackNetwork();
-  /** One machine a member. */
+  /** One disk for each member. */
   readonly disks: readonly SimulatedDisk[];
-  /** What must never be seen: starts that failed, processes that ended by themselves, votes given twice. */
+  /** Violations: failed starts, unexpected exits and conflicting votes. */
   readonly faults: string[] = [];
-  /** What the members logged and what was done to them, in order. */
+  /** Log lines of members and injected faults, in order. */
   readonly lines: string[] = [];
   private readonly processes: (DiskMember | undefined)[] = [];
   private readonly votes = new Map<string, string>();
@@ -69,7 +69,7 @@
     return this.serving.find(({ group }) => group.isCurrentLeader);
   }
 
-  /** Whether the group's members are all voters, and just those that serve. */
+  /** Whether all members of the group are voters and serving. */
   get isComplete(): boolean {
     const { group } = this.leader ?? {};
     if (!group?.isConfigurationSettled) return false;
@@ -85,14 +85,14 @@
     return new GroupClient({ peers, addresses: [...MEMBER_NAMES], tryTimeoutMs: TRY_TIMEOUT_MS });
   }
 
-  /** Starts all members for the first time; they found the group together. */
+  /** Starts all members for the first time; together they bootstrap the group. */
   async bootstrap(): Promise<void> {
     const opened = await Promise.all(this.disks.map((_, index) => this.openProcess(index)));
     this.founders = opened.map(({ member }) => ({ ...member, role: 'voter' }));
     await Promise.all(opened.map((process) => process.joinGroup(this.founders)));
   }
 
-  /** Starts a member from what its disk holds; that it is killed meanwhile is no fault. */
+  /** Starts a member from its disk; being killed during the start is no violation. */
   async start(index: number): Promise<void> {
     const disk = this.disks[index]!;
     const killing = new AbortController();
@@ -101,16 +101,16 @@
       const process = await this.openProcess(index, killing);
       await process.joinGroup(this.founders);
     } catch (error) {
-      if (!killing.signal.aborted) this.noteFault(disk, 'did not start', error);
+      if (!killing.signal.aborted) this.recordFault(disk, 'did not start', error);
     }
   }
 
-  /** Notes what is done to the members beside what they log. */
+  /** Adds a line to the log of the cluster. */
   record(line: string): void {
     this.lines.push(`${Math.round(monotonicMs() - this.startedAt)} ${line}`);
   }
 
-  /** One line a member that serves: what tells why a group makes no progress. */
+  /** Describes each serving member in one line, to diagnose a group without progress. */
   describeMembers(): string[] {
     return this.serving.map(({ process, group }) => {
       const { state, term, commitIndex, log, applier } = group;
@@ -128,7 +128,7 @@
     for (const disk of this.disks) disk.kill();
   }
 
-  /** @param killing aborted in the moment in which the process is killed */
+  /** @param killing aborted when the process is killed */
   private async openProcess(index: number, killing = new AbortController()): Promise<DiskMember> {
     const disk = this.disks[index]!;
     const name = MEMBER_NAMES[index]!;
@@ -148,7 +148,7 @@
       logger: this.createLogger(name),
       killed: killing.signal,
       onFatal: (error) => {
-        if (!killing.signal.aborted) this.noteFault(disk, 'ended by itself', error);
+        if (!killing.signal.aborted) this.recordFault(disk, 'ended by itself', error);
       },
       onVote: (request, response) => this.checkVote(request, response),
     });
@@ -156,14 +156,14 @@
     return process;
   }
 
-  private noteFault(disk: SimulatedDisk, what: string, error: unknown): void {
+  private recordFault(disk: SimulatedDisk, what: string, error: unknown): void {
     const fault = `${disk.name} ${what}: ${describeError(error)}`;
     this.record(fault);
     this.faults.push(fault);
     disk.kill();
   }
 
-  /** A member votes for one candidate a term; a candidate that asks has voted for itself. */
+  /** Checks that each member votes for one candidate per term; a candidate votes for itself. */
   private checkVote(request: VoteRequest, response: VoteResponse | undefined): void {
     if (request.isPreVote) return;
     const voter = response ? request.to : request.from;
--- a/tests/support/simulated-disk-files.ts
+++ b/tests/support/simulated-disk-files.ts
@@ -1,5 +1,5 @@
 /**
- * Stands in for `node:fs/promises` below the paths of simulated disks, for what the stores use of it:
+ * Replaces the functions of `node:fs/promises` that the stores use, for paths on simulated disks:
  *
  *     vi.mock('node:fs/promises', async (importOriginal) => {
  *       const { withSimulatedDisks } = await import('…/simulated-disk-files.js');
@@ -12,7 +12,7 @@
 
 type FileSystem = typeof fileSystem;
 
-/** What the stores use of a `FileHandle`. */
+/** The part of `FileHandle` that the stores use. */
 type SimulatedHandle = ReturnType<typeof fileHandle>;
 
 function errorWith(code: string, path: string): Error {
@@ -39,7 +39,7 @@
   return file;
 }
 
-async function openPlace(place: SimulatedPath, flags: string): Promise<SimulatedHandle> {
+async function openPath(place: SimulatedPath, flags: string): Promise<SimulatedHandle> {
   const { disk, process } = place;
   await disk.step(process, `open ${flags} ${pathOf(place)}`);
   if (flags === 'r' || flags === 'r+') {
@@ -47,22 +47,22 @@
     if (!node) throw errorWith('ENOENT', pathOf(place));
     return node instanceof FolderNode ? folderHandle(place, node) : fileHandle(place, node);
   }
-  return fileHandle(place, emptyFile(place));
+  return fileHandle(place, createEmptyFile(place));
 }
 
-function emptyFile(place: SimulatedPath): FileNode {
+function createEmptyFile(place: SimulatedPath): FileNode {
   const parent = parentOf(place);
   const existing = parent.find(nameOf(place));
   if (existing instanceof FileNode) {
     existing.truncate(0);
     return existing;
   }
-  const made = new FileNode(parent);
-  parent.add(nameOf(place), made);
-  return made;
+  const created = new FileNode(parent);
+  parent.add(nameOf(place), created);
+  return created;
 }
 
-/** Of a folder only the sync is of use. */
+/** A handle of a folder, of which only `sync` is used. */
 function folderHandle(place: SimulatedPath, folder: FolderNode): SimulatedHandle {
   const handle = fileHandle(place, new FileNode(folder));
   return {
@@ -79,9 +79,9 @@
   const path = pathOf(place);
   let isOpen = true;
   let position = 0;
-  const step = async (operation: string, atDeath?: () => void): Promise<void> => {
+  const step = async (operation: string, onKill?: () => void): Promise<void> => {
     if (!isOpen) throw errorWith('EBADF', path);
-    await disk.step(process, `${operation} ${path}`, atDeath);
+    await disk.step(process, `${operation} ${path}`, onKill);
   };
   const write = async (offset: number, bytes: Uint8Array): Promise<void> => {
     await step('write', () => disk.writePart(file, offset, bytes));
@@ -125,51 +125,54 @@
 async function makeFolders(place: SimulatedPath, path: string): Promise<string | undefined> {
   const { disk, process, segments } = place;
   await disk.step(process, `mkdir ${pathOf(place)}`);
-  const missing = segments.filter((_, index) => !disk.find(segments.slice(0, index + 1))).length;
-  for (let depth = segments.length - missing; depth < segments.length; depth += 1) {
+  const missingCount = segments.filter(
+    (_, index) => !disk.find(segments.slice(0, index + 1)),
+  ).length;
+  for (let depth = segments.length - missingCount; depth < segments.length; depth += 1) {
     const parent = disk.find(segments.slice(0, depth)) as FolderNode;
     parent.add(segments[depth]!, new FolderNode(parent));
   }
-  if (missing === 0) return undefined;
+  if (missingCount === 0) return undefined;
   return path
     .split('/')
-    .slice(0, 1 - missing || undefined)
+    .slice(0, 1 - missingCount || undefined)
     .join('/');
 }
 
-async function renamePlace(from: SimulatedPath, to: SimulatedPath): Promise<void> {
+async function renamePath(from: SimulatedPath, to: SimulatedPath): Promise<void> {
   await from.disk.step(from.process, `rename ${pathOf(to)}`);
   const folder = parentOf(from);
-  if (folder !== parentOf(to)) throw new Error('simulated disks rename within one folder only');
+  if (folder !== parentOf(to))
+    throw new Error('simulated disks support renames only within one folder');
   existingFile(from);
   folder.rename(nameOf(from), nameOf(to));
 }
 
-async function removePlace(place: SimulatedPath, isForced: boolean): Promise<void> {
+async function removePath(place: SimulatedPath, isForced: boolean): Promise<void> {
   await place.disk.step(place.process, `remove ${pathOf(place)}`);
   const node = place.disk.find(place.segments);
   if (!node && !isForced) throw errorWith('ENOENT', pathOf(place));
   if (node) parentOf(place).remove(nameOf(place));
 }
 
-async function listPlace(place: SimulatedPath): Promise<string[]> {
+async function listPath(place: SimulatedPath): Promise<string[]> {
   await place.disk.step(place.process, `list ${pathOf(place)}`);
   const folder = place.disk.find(place.segments);
   if (!(folder instanceof FolderNode)) throw errorWith('ENOENT', pathOf(place));
   return folder.names;
 }
 
-async function readPlace(place: SimulatedPath): Promise<Buffer> {
+async function readPath(place: SimulatedPath): Promise<Buffer> {
   await place.disk.step(place.process, `read ${pathOf(place)}`);
   return Buffer.from(existingFile(place).bytes);
 }
 
-async function truncatePlace(place: SimulatedPath, length: number): Promise<void> {
+async function truncatePath(place: SimulatedPath, length: number): Promise<void> {
   await place.disk.step(place.process, `truncate ${pathOf(place)}`);
   existingFile(place).truncate(length);
 }
 
-/** The functions that the stores call; a path of no simulated disk goes to the file system. */
+/** Redirects paths on simulated disks; other paths use the file system. */
 export function withSimulatedDisks(original: FileSystem): FileSystem {
   const route = <Result>(
     path: unknown,
@@ -183,27 +186,27 @@
     open: (path: string, flags: string) =>
       route(
         path,
-        (place) => openPlace(place, flags),
+        (place) => openPath(place, flags),
         () => original.open(path, flags),
       ),
-    readFile: (path: string) => route(path, readPlace, () => original.readFile(path)),
-    readdir: (path: string) => route(path, listPlace, () => original.readdir(path)),
+    readFile: (path: string) => route(path, readPath, () => original.readFile(path)),
+    readdir: (path: string) => route(path, listPath, () => original.readdir(path)),
     truncate: (path: string, length: number) =>
       route(
         path,
-        (place) => truncatePlace(place, length),
+        (place) => truncatePath(place, length),
         () => original.truncate(path, length),
       ),
     rename: (from: string, to: string) =>
       route(
         from,
-        (place) => renamePlace(place, parseSimulatedPath(to)!),
+        (place) => renamePath(place, parseSimulatedPath(to)!),
         () => original.rename(from, to),
       ),
     rm: (path: string, options: { force?: boolean } = {}) =>
       route(
         path,
-        (place) => removePlace(place, options.force ?? false),
+        (place) => removePath(place, options.force ?? false),
         () => original.rm(path, options),
       ),
     mkdir: (path: string, options: { recursive: true }) =>
--- a/tests/support/simulated-disk-group.ts
+++ b/tests/support/simulated-disk-group.ts
@@ -1,4 +1,4 @@
-/** One member of a group whose state is a list, with its log and snapshots on a simulated disk. */
+/** A member of a group with a list state machine, whose log and snapshots are on a simulated disk. */
 import { join } from 'node:path';
 import {
   type ConsensusOptions,
@@ -18,25 +18,25 @@
   disk: SimulatedDisk;
   network: LoopbackNetwork;
   own: Member;
-  /** The members with which it founds the group; empty when it comes to one that is there. */
+  /** Members that bootstrap the group; empty if the member joins an existing group. */
   founders: Member[];
   consensus: ConsensusOptions;
-  /** Bytes of a segment of the log. @default the log's own */
+  /** Size of a log segment. @default the default of the log */
   segmentBytes?: number;
 }
 
 export interface RunningListMember {
   group: ReplicatedGroup;
   machine: ListMachine;
-  /** What ended the process by itself. */
+  /** Fatal errors of the process. */
   fatal: unknown[];
   /** Aborted when the process is killed. */
   killed: AbortSignal;
 }
 
 /**
- * Starts a process of the member from what its disk holds.
- * @param killAt operation of its disk at which it is killed, counted from 1
+ * Starts a process of the member from its disk.
+ * @param killAt number of the disk operation at which it is killed, starting at 1
  */
 export async function startListMember(
   { disk, network, own, founders, consensus, segmentBytes }: ListGroupOptions,
--- a/tests/support/simulated-disk-load.ts
+++ b/tests/support/simulated-disk-load.ts
@@ -1,4 +1,4 @@
-/** Programs whose turns are kept one after the other, and what may be relied on of them afterwards. */
+/** Load of programs with kept turns, and the acknowledged results to verify afterwards. */
 import { type SeededRandom, monotonicMs, sleep } from '../../src/common/index.js';
 import { type GroupClient, callLeader } from '../../src/consensus/index.js';
 import {
@@ -10,30 +10,30 @@
 } from '../../src/ledger/index.js';
 
 const RETENTION_MS = 600_000;
-/** Of programs whose turns are over soon, so that segments of values are cleaned. */
+/** Retention of short-lived programs, which causes compaction of value segments. */
 const SHORT_RETENTION_MS = 1_000;
 const SHORT_LIVED_SHARE = 0.4;
-const LONGEST_CHAIN = 6;
-const LONGEST_VALUE_BYTES = 400;
-const LONGEST_PAUSE_MS = 6;
+const MAX_CHAIN_LENGTH = 6;
+const MAX_VALUE_BYTES = 400;
+const MAX_PAUSE_MS = 6;
 const CALL_TIMEOUT_MS = 1_000;
 /** Tokens of each turn. */
 const SPENT_TOKENS = 1;
 
-/** A turn whose keeping was acknowledged. */
+/** A kept turn that was acknowledged. */
 export interface KeptChain {
   turn: string;
-  /** All that it continues from, with itself. */
+  /** History up to and including the turn. */
   history: string;
 }
 
-/** One program after the other, each a chain of turns. */
+/** Runs programs in sequence, each as a chain of turns. */
 export class ChainWriter {
-  /** Acknowledged turns that are kept for long, in order. */
+  /** Acknowledged turns with the long retention, in order. */
   readonly acknowledged: KeptChain[] = [];
   /** Tokens of acknowledged turns by program. */
   readonly spentTokens = new Map<string, number>();
-  /** Turns that were acknowledged so far, of all programs. */
+  /** Number of acknowledged turns of all programs. */
   acknowledgedCount = 0;
   private turns = 0;
   private isStopped = false;
@@ -50,7 +50,7 @@
     this.running = this.run();
   }
 
-  /** Resolves once the turn that is under way is given up or acknowledged. */
+  /** Resolves once the running turn is acknowledged or abandoned. */
   async stop(): Promise<void> {
     this.isStopped = true;
     await this.running;
@@ -61,18 +61,18 @@
   }
 
   private async runProgram(program: string): Promise<void> {
-    const length = this.random.integer(1, LONGEST_CHAIN);
+    const length = this.random.integer(1, MAX_CHAIN_LENGTH);
     const isShortLived = this.random.chance(SHORT_LIVED_SHARE);
     const retentionMs = isShortLived ? SHORT_RETENTION_MS : RETENTION_MS;
     let previous: KeptChain | undefined;
     for (let count = 0; count < length && !this.isStopped; count += 1) {
       previous = await this.keepTurn(program, retentionMs, previous);
       if (previous && !isShortLived) this.acknowledged.push(previous);
-      await sleep(this.random.integer(0, LONGEST_PAUSE_MS));
+      await sleep(this.random.integer(0, MAX_PAUSE_MS));
     }
   }
 
-  /** Asks again for the same turn until it is acknowledged, as a gateway does. */
+  /** Retries a turn until it is acknowledged, like a gateway. */
   private async keepTurn(
     program: string,
     retentionMs: number,
@@ -80,7 +80,7 @@
   ): Promise<KeptChain | undefined> {
     this.turns += 1;
     const turn = `${this.name}-turn-${this.turns}`;
-    const input = `${turn}:${'i'.repeat(this.random.integer(1, LONGEST_VALUE_BYTES))}`;
+    const input = `${turn}:${'i'.repeat(this.random.integer(1, MAX_VALUE_BYTES))}`;
     const settlement: Settlement = {
       program,
       attempt: turn,
@@ -106,9 +106,9 @@
     const request = { settlements: [settlement], copiedTo: this.copies.send(settlement) };
     const limits = { timeoutMs: CALL_TIMEOUT_MS };
     try {
-      const answer = await callLeader(this.client, LEDGER_GROUP, SETTLE, request, limits);
-      if (answer.copyTargets) this.copies.updateTargets(answer.copyTargets);
-      return answer.isSettled;
+      const response = await callLeader(this.client, LEDGER_GROUP, SETTLE, request, limits);
+      if (response.copyTargets) this.copies.updateTargets(response.copyTargets);
+      return response.isSettled;
     } catch {
       return false;
     }
@@ -116,15 +116,15 @@
 }
 
 /**
- * Reads a kept turn's history at the leader, again and again until it is right.
- * @returns what was wrong last; undefined once it is right
+ * Reads the history of a kept turn from the leader until it is correct.
+ * @returns the last problem, or undefined
  */
 export async function readUntilCorrect(
   client: GroupClient,
   { turn, history }: KeptChain,
   deadlineMs: number,
 ): Promise<string | undefined> {
-  let problem = 'never asked';
+  let problem = 'no request sent';
   const request = {
     program: `reader-of-${turn}`,
     attempt: `after-${turn}`,
@@ -135,9 +135,10 @@
   while (monotonicMs() < deadlineMs) {
     try {
       const limits = { timeoutMs: CALL_TIMEOUT_MS };
-      const answer = await callLeader(client, LEDGER_GROUP, RESERVE, request, limits);
-      if (answer.history && Buffer.from(answer.history).toString() === history) return undefined;
-      problem = `${answer.outcome}, another history`;
+      const response = await callLeader(client, LEDGER_GROUP, RESERVE, request, limits);
+      if (response.history && Buffer.from(response.history).toString() === history)
+        return undefined;
+      problem = `${response.outcome}, wrong history`;
     } catch (error) {
       problem = (error as Error).message;
     }
--- a/tests/support/simulated-disk-member.ts
+++ b/tests/support/simulated-disk-member.ts
@@ -1,4 +1,4 @@
-/** One process of the ledger's group with its real stores, on a simulated disk. */
+/** A process of the ledger group with real stores on a simulated disk. */
 import { join } from 'node:path';
 import { VoterSetManager, runAdmissionTask } from '../../src/clustering/index.js';
 import {
@@ -26,26 +26,26 @@
 
 const READ_LIMITS = { timeoutMs: 2_000 };
 const TRY_TIMEOUT_MS = 200;
-const WISHED_VOTERS = 3;
-/** So small that segments are sealed, and let go, all the time. */
+const TARGET_VOTERS = 3;
+/** Small, so that segments are sealed and deleted frequently. */
 const LOG_SEGMENT_BYTES = 6_000;
 const VALUE_SEGMENT_BYTES = 4_000;
 const CACHE_BYTES = 1_000;
 
-/** What its machine gives to a process. */
+/** Environment of a member process. */
 export interface MemberEnvironment {
   name: string;
-  /** Root path of the process on its machine's disk. */
+  /** Root path of the process on the disk. */
   root: string;
   network: LoopbackNetwork;
-  /** Addresses of all members; a member's name is its address. */
+  /** Addresses of all members, which equal their names. */
   addresses: readonly string[];
   consensus: CheckedConsensusOptions;
   logger: Logger;
   /** Aborted when the process is killed. */
   killed: AbortSignal;
   onFatal: (error: unknown) => void;
-  /** A vote that was asked for, and what came of it. */
+  /** Called with each vote request, and again with its response. */
   onVote: (request: VoteRequest, response: VoteResponse | undefined) => void;
 }
 
@@ -53,7 +53,7 @@
   group: ReplicatedGroup | undefined;
 
   private constructor(
-    private readonly surroundings: MemberEnvironment,
+    private readonly environment: MemberEnvironment,
     private readonly identity: IdentityStore,
     private readonly wal: WriteAheadLog,
     readonly values: ValueStore,
@@ -61,9 +61,9 @@
     private readonly peers: PeerCaller,
   ) {}
 
-  /** Opens the stores, as a journal process does before it takes part. */
-  static async open(surroundings: MemberEnvironment): Promise<DiskMember> {
-    const { name, root, logger, onFatal } = surroundings;
+  /** Opens the stores, like a journal process before it joins its group. */
+  static async open(environment: MemberEnvironment): Promise<DiskMember> {
+    const { name, root, logger, onFatal } = environment;
     const folder = join(root, 'data');
     const values = await ValueStore.open({
       folder: await openStoreFolder(join(folder, 'turns')),
@@ -72,7 +72,7 @@
       segmentBytes: VALUE_SEGMENT_BYTES,
       cacheBytes: CACHE_BYTES,
     });
-    const peers = peersWhileAlive(surroundings);
+    const peers = peersUntilKilled(environment);
     const stateMachine = new LedgerStateMachine({
       values,
       readTurnsAt: (address, request) => peers.call(address, READ_TURNS, request, READ_LIMITS),
@@ -84,15 +84,15 @@
       segmentBytes: LOG_SEGMENT_BYTES,
       onFatal,
     });
-    return new DiskMember(surroundings, identity, wal, values, stateMachine, peers);
+    return new DiskMember(environment, identity, wal, values, stateMachine, peers);
   }
 
   get member(): Member {
-    const { name } = this.surroundings;
+    const { name } = this.environment;
     return { id: this.identity.identity.memberId, name, address: name, role: 'learner' };
   }
 
-  /** Takes part in the group; founds it with the others where the disk knows of none. */
+  /** Joins the group, or bootstraps it if the disk has no group state. */
   async joinGroup(founders: Member[]): Promise<void> {
     const host = this.createHost();
     await this.joinCluster(host, founders);
@@ -103,7 +103,7 @@
   }
 
   private createHost(): GroupHost {
-    const { root, consensus, logger, onFatal, killed } = this.surroundings;
+    const { root, consensus, logger, onFatal, killed } = this.environment;
     const host = new GroupHost({
       ownId: this.identity.identity.memberId,
       wal: this.wal,
@@ -133,11 +133,11 @@
   private requireLog(group: ReplicatedGroup): void {
     if (this.identity.identity.state !== 'member' || group.log.lastIndex > 0) return;
     const context = { step: 'nodes.enter', peer: group.name };
-    throw new DamagedLogError('the log is gone but the identity is not', context);
+    throw new DamagedLogError('data folder has an identity but no log', context);
   }
 
   private serve(host: GroupHost, group: ReplicatedGroup): void {
-    const { name, network, addresses, logger, killed: signal } = this.surroundings;
+    const { name, network, addresses, logger, killed: signal } = this.environment;
     if (signal.aborted) return;
     const router = new MethodRouter();
     host.registerHandlers(router);
@@ -150,9 +150,13 @@
     });
     service.registerHandlers(router);
     const isRetiring = (): boolean => false;
-    const keeper = new VoterSetManager(group, { targetVoters: WISHED_VOTERS, isRetiring, logger });
-    keeper.registerHandler(router);
-    signal.addEventListener('abort', () => keeper.stop());
+    const voterSet = new VoterSetManager(group, {
+      targetVoters: TARGET_VOTERS,
+      isRetiring,
+      logger,
+    });
+    voterSet.registerHandler(router);
+    signal.addEventListener('abort', () => voterSet.stop());
     network.listen(name, router);
     host.start();
     const client = new GroupClient({
@@ -164,8 +168,8 @@
   }
 }
 
-/** What a killed process still has in memory goes nowhere. */
-function peersWhileAlive({ name, network, killed, onVote }: MemberEnvironment): PeerCaller {
+/** Rejects calls of a killed process. */
+function peersUntilKilled({ name, network, killed, onVote }: MemberEnvironment): PeerCaller {
   const peers = network.peersOf(name);
   return {
     isConnected: (address) => peers.isConnected(address),
@@ -183,7 +187,7 @@
 function notifierOf(peers: PeerCaller): PeerNotifier {
   return {
     notify: (address, method, request) => {
-      // Nobody is told whether a notice arrived.
+      // Delivery of notices is not confirmed.
       void peers.call(address, method, request, READ_LIMITS).catch(() => undefined);
     },
   };
--- a/tests/support/simulated-disk-nodes.ts
+++ b/tests/support/simulated-disk-nodes.ts
@@ -1,10 +1,10 @@
-/** Files and folders of a simulated disk: what programs see, and what outlives a loss of power. */
+/** Files and folders of a simulated disk, with their visible and their durable content. */
 import type { SeededRandom } from '../../src/common/index.js';
 
-/** What becomes of a change that no sync has covered. */
-type Fate = 'dropped' | 'kept' | 'torn';
+/** Outcome of an unsynced change after a power failure. */
+type UnsyncedOutcome = 'dropped' | 'kept' | 'torn';
 
-/** How a loss of power treats changes that no sync has covered. */
+/** Whether a power failure drops all unsynced changes or draws an outcome for each. */
 export type PowerLoss = 'drops-all' | 'draws-each';
 
 interface FileWrite {
@@ -20,9 +20,9 @@
 
 type FileChange = FileWrite | FileTruncation;
 
-const FATES: readonly Fate[] = ['dropped', 'kept', 'torn'];
+const UNSYNCED_OUTCOMES: readonly UnsyncedOutcome[] = ['dropped', 'kept', 'torn'];
 
-/** Bytes of a file, in a buffer that grows ahead of them. */
+/** Content of a file, in a buffer that grows geometrically. */
 class FileContent {
   private buffer = Buffer.alloc(0);
   private length = 0;
@@ -57,7 +57,7 @@
   private readonly durable = new FileContent();
   private unsynced: FileChange[] = [];
 
-  /** @param folder where it was made */
+  /** @param folder folder in which it was created */
   constructor(readonly folder: FolderNode) {}
 
   get bytes(): Buffer {
@@ -81,7 +81,7 @@
     const changes = this.unsynced;
     this.unsynced = [];
     if (loss === 'draws-each') {
-      for (const change of changes) this.leaveToFate(change, random);
+      for (const change of changes) this.applyOutcome(change, random);
     }
     this.current = new FileContent();
     this.current.apply({ kind: 'write', offset: 0, bytes: this.durable.bytes });
@@ -92,15 +92,15 @@
     this.unsynced.push(change);
   }
 
-  private leaveToFate(change: FileChange, random: SeededRandom): void {
-    const fate = random.pick(FATES);
-    if (fate === 'dropped') return;
-    if (fate === 'kept' || change.kind === 'truncate') this.durable.apply(change);
+  private applyOutcome(change: FileChange, random: SeededRandom): void {
+    const outcome = random.pick(UNSYNCED_OUTCOMES);
+    if (outcome === 'dropped') return;
+    if (outcome === 'kept' || change.kind === 'truncate') this.durable.apply(change);
     else this.durable.apply(tornWrite(change, random));
   }
 }
 
-/** Any part of a write may reach the disk without the rest. */
+/** Draws the part of a write that reached the disk. */
 function tornWrite({ offset, bytes }: FileWrite, random: SeededRandom): FileWrite {
   const start = random.chance(0.5) ? 0 : random.integer(0, bytes.length);
   const end = random.integer(start, bytes.length);
@@ -109,33 +109,33 @@
 
 export type DiskNode = FileNode | FolderNode;
 
-interface MadeName {
+interface NameCreation {
   kind: 'make';
   name: string;
   node: DiskNode;
 }
 
-interface RemovedName {
+interface NameRemoval {
   kind: 'remove';
   name: string;
   node: DiskNode;
 }
 
-interface RenamedNode {
+interface NodeRename {
   kind: 'rename';
   from: string;
   to: string;
   node: DiskNode;
 }
 
-type NameChange = MadeName | RemovedName | RenamedNode;
+type NameChange = NameCreation | NameRemoval | NodeRename;
 
 export class FolderNode {
   private entries = new Map<string, DiskNode>();
   private readonly durable = new Map<string, DiskNode>();
   private unsynced: NameChange[] = [];
 
-  /** @param parent undefined for the root, whose own name always lasts */
+  /** @param parent undefined for the root, whose name is always durable */
   constructor(readonly parent: FolderNode | undefined) {}
 
   get names(): string[] {
@@ -169,7 +169,7 @@
     this.unsynced = [];
   }
 
-  /** Makes the name under which a node was made last, with those of the folders above it. */
+  /** Makes the name with which a node was created durable, and those of its parent folders. */
   syncNameOf(node: DiskNode): void {
     const made = this.unsynced.find((change) => change.kind === 'make' && change.node === node);
     if (made) {
@@ -196,7 +196,7 @@
   }
 }
 
-/** A change holds for the node that it was made with: its name may stand for another one by now. */
+/** Applies a change to its own node only: the name may refer to another node by now. */
 function applyNameChange(names: Map<string, DiskNode>, change: NameChange): void {
   if (change.kind === 'make') {
     names.set(change.name, change.node);
--- a/tests/support/simulated-disk.ts
+++ b/tests/support/simulated-disk.ts
@@ -1,59 +1,59 @@
 /**
- * A disk in memory whose processes can be killed and whose power can be lost at any operation.
+ * An in-memory disk on which processes can be killed, and power can fail, at any operation.
  *
- * A killed process leaves all that it wrote, as the machine's memory holds it. A loss of power leaves what
- * was synced; every other change is kept, dropped or torn, as POSIX allows at its worst. Each process sees the
- * disk below a root path of its own, so that what a dead one still tries is told apart.
+ * After a kill all writes remain, since they are in the page cache. After a power failure synced changes remain;
+ * every other change is kept, dropped or torn, as POSIX permits. Each process accesses the disk below its own
+ * root path, so that later operations of a killed process are detected.
  */
 import { SeededRandom, sleep } from '../../src/common/index.js';
 import { type DiskNode, FileNode, FolderNode, type PowerLoss } from './simulated-disk-nodes.js';
 
 export const SIMULATED_ROOT = '/simulated-disk';
 
-/** What makes the name of a new file last beside the sync of its folder. */
+/** Whether the sync of a file, or only that of its folder, makes the name of a new file durable. */
 export type NameDurability = 'file-sync' | 'folder-sync-only';
 
 export interface SimulatedDiskOptions {
   seed: number;
   /**
-   * With `file-sync`, as the usual file systems have it, the sync of a new file keeps its name as well, with the
-   * names of the folders above it. @default 'file-sync'
+   * With `file-sync`, as on common file systems, the sync of a new file also makes its name and those of its
+   * parent folders durable. @default 'file-sync'
    */
   nameDurability?: NameDurability;
-  /** Longest time that a sync takes, in milliseconds; drawn for each. @default 0 */
+  /** Maximum duration of a sync, drawn for each one, in milliseconds. @default 0 */
   maxSyncMs?: number;
 }
 
-/** The process of this operation was killed, or its machine has lost power. */
+/** The process of the operation was killed, or its machine lost power. */
 export class ProcessKilledError extends Error {}
 
-/** Draws before the first that counts: seeds that differ little begin with much the same. */
+/** Number of discarded draws, since similar seeds start with similar values. */
 const SKIPPED_DRAWS = 32;
 
-/** A generator whose draws differ from the first on, also for seeds that follow one another. */
+/** Creates a generator whose values are uncorrelated even for consecutive seeds. */
 export function createDecorrelatedRandom(seed: number): SeededRandom {
   const random = new SeededRandom(seed);
   for (let count = 0; count < SKIPPED_DRAWS; count += 1) random.uniform();
   return random;
 }
 
-const KEEPS_NOTHING_SHARE = 0.4;
+const DROP_ALL_PROBABILITY = 0.4;
 const disks = new Map<string, SimulatedDisk>();
 
 export class SimulatedDisk {
-  private root = emptyRoot();
+  private root = createEmptyRoot();
   private process = 0;
   private isProcessAlive = false;
   private readonly random: SeededRandom;
   private onKilled: () => void = () => undefined;
-  /** Operations of the running process so far, by name, in order. */
+  /** Descriptions of the operations of the running process, in order. */
   operations: string[] = [];
-  /** The running process is killed at this operation, counted from 1; of a write it does a drawn part. */
+  /** Number of the operation at which the process is killed, starting at 1; a write is done partially. */
   killAt = Number.POSITIVE_INFINITY;
-  /** Or at the first operation of this description, before it does anything. */
+  /** Description of an operation before which the process is killed. */
   killBefore: string | undefined;
 
-  /** @param name of the machine; an earlier disk of the name is forgotten */
+  /** @param name name of the machine; replaces an earlier disk of the same name */
   constructor(
     readonly name: string,
     private readonly options: SimulatedDiskOptions,
@@ -64,7 +64,7 @@
 
   /**
    * Starts a process.
-   * @param onKilled called in the moment in which it is killed, or its machine loses power
+   * @param onKilled called when it is killed or loses power
    * @returns its root path
    */
   startProcess(onKilled: () => void = () => undefined): string {
@@ -82,7 +82,7 @@
     return this.isProcessAlive;
   }
 
-  /** Ends the running process; what it wrote stays in the machine's memory. */
+  /** Kills the running process; its writes remain. */
   kill(): void {
     if (!this.isProcessAlive) return;
     this.isProcessAlive = false;
@@ -90,22 +90,22 @@
   }
 
   /**
-   * Ends the running process, and drops or tears what was not synced.
-   * @param loss drawn when not given
+   * Kills the running process, and keeps, drops or tears unsynced changes.
+   * @param loss @default drawn at random
    */
   losePower(loss?: PowerLoss): void {
     this.kill();
-    const drawn = this.random.chance(KEEPS_NOTHING_SHARE) ? 'drops-all' : 'draws-each';
+    const drawn = this.random.chance(DROP_ALL_PROBABILITY) ? 'drops-all' : 'draws-each';
     this.root.losePower(this.random, loss ?? drawn);
   }
 
-  /** Ends the running process; another disk without any content takes the place of this one. */
+  /** Kills the running process and replaces the content by an empty file system. */
   replaceWithEmpty(): void {
     this.kill();
-    this.root = emptyRoot();
+    this.root = createEmptyRoot();
   }
 
-  /** Names of the files and folders below a path, each with the path in front. */
+  /** Paths of all files and folders below a folder. */
   list(folder: DiskNode | undefined = this.root, path = ''): string[] {
     if (!(folder instanceof FolderNode)) return [];
     return folder.names.flatMap((name) => [
@@ -114,7 +114,7 @@
     ]);
   }
 
-  /** @returns undefined when there is no such file or folder */
+  /** @returns undefined if there is no such file or folder */
   find(segments: readonly string[]): DiskNode | undefined {
     let node: DiskNode | undefined = this.root;
     for (const name of segments) {
@@ -125,11 +125,11 @@
   }
 
   /**
-   * Begins an operation of a process; what follows it synchronously belongs to it.
-   * @param atDeath what a process still does that dies at this operation
-   * @throws ProcessKilledError when the process is dead, or dies at this operation
+   * Starts an operation of a process, which the caller completes synchronously.
+   * @param onKill called if the process is killed at this operation
+   * @throws ProcessKilledError if the process was killed, or is killed at this operation
    */
-  async step(process: number, operation: string, atDeath?: () => void): Promise<void> {
+  async step(process: number, operation: string, onKill?: () => void): Promise<void> {
     await new Promise((resolve) => setImmediate(resolve));
     const { maxSyncMs = 0 } = this.options;
     if (maxSyncMs > 0 && operation.startsWith('sync')) {
@@ -139,12 +139,12 @@
     this.operations.push(operation);
     const isDue = operation === this.killBefore;
     if (!isDue && this.operations.length < this.killAt) return;
-    if (!isDue) atDeath?.();
+    if (!isDue) onKill?.();
     this.kill();
     throw new ProcessKilledError(operation);
   }
 
-  /** A killed process may have written the first part of what it was writing. */
+  /** Writes a random prefix, as a process that is killed during a write. */
   writePart(file: FileNode, offset: number, bytes: Uint8Array): void {
     const length = this.random.integer(0, bytes.length);
     if (length > 0) file.write(offset, bytes.subarray(0, length));
@@ -156,19 +156,19 @@
   }
 }
 
-/** The top of a new file system, which holds a folder of its own. */
-function emptyRoot(): FolderNode {
+/** Root of a new file system, which contains `lost+found`. */
+function createEmptyRoot(): FolderNode {
   const root = new FolderNode(undefined);
   root.add('lost+found', new FolderNode(root));
   root.sync();
   return root;
 }
 
-/** Where a path of a simulated disk leads. */
+/** A parsed path on a simulated disk. */
 export interface SimulatedPath {
   disk: SimulatedDisk;
   process: number;
-  /** Names on the way from the disk's root. */
+  /** Path components, starting at the root of the disk. */
   segments: string[];
 }
 
--- a/tests/support/simulated-folder.ts
+++ b/tests/support/simulated-folder.ts
@@ -1,6 +1,6 @@
 /**
- * A folder in memory for value stores. It can lose power at any operation: what was synced stays,
- * every later write is kept, dropped or torn. It can also run out of room.
+ * An in-memory folder for value stores. Power can fail at any operation: synced data remains, and every
+ * later write is kept, dropped or torn. The folder can also run out of space.
  */
 import type { StoreFile, StoreFolder } from '../../src/value-store/index.js';
 import { type SeededRandom, sleep } from '../../src/common/index.js';
@@ -11,10 +11,10 @@
 }
 
 class SimulatedFile {
-  /** Content that outlives a loss of power. */
+  /** Content that survives a power failure. */
   durable: Buffer = Buffer.alloc(0);
   unsynced: Write[] = [];
-  /** Whether the file itself outlives a loss of power. */
+  /** Whether the directory entry survives a power failure. */
   isNameDurable = false;
 
   get content(): Buffer {
@@ -29,9 +29,9 @@
 
   afterPowerLoss(random: SeededRandom): Buffer {
     const kept = this.unsynced.flatMap((write): Write[] => {
-      const fate = random.integer(0, 2);
-      if (fate === 0) return [];
-      if (fate === 1) return [write];
+      const outcome = random.integer(0, 2);
+      if (outcome === 0) return [];
+      if (outcome === 1) return [write];
       return [{ ...write, bytes: write.bytes.subarray(0, random.integer(0, write.bytes.length)) }];
     });
     return kept.reduce(withWrite, this.durable);
@@ -45,7 +45,7 @@
   return result;
 }
 
-/** The operation at which power is lost. */
+/** Power failed at this operation, or earlier. */
 export class PowerLostError extends Error {}
 
 export class SimulatedFolder implements StoreFolder {
@@ -53,15 +53,15 @@
   private files = new Map<string, SimulatedFile>();
   /** Removed files whose removal is not durable yet. */
   private removed = new Map<string, SimulatedFile>();
-  /** Operations so far, by name, in order. */
+  /** Names of the operations, in order. */
   readonly operations: string[] = [];
-  /** Power goes at this operation, counted from 1. */
+  /** Number of the operation at which power fails, starting at 1. */
   powerLossAt = Number.POSITIVE_INFINITY;
   /** Bytes that may still be written. */
   freeBytes = Number.POSITIVE_INFINITY;
   private hasPower = true;
 
-  /** What is there when power is back. */
+  /** Returns the folder as it is after a power failure. */
   afterPowerLoss(random: SeededRandom): SimulatedFolder {
     const folder = new SimulatedFolder();
     const mayStay = [...this.removed].filter(() => random.chance(0.5));
@@ -75,7 +75,7 @@
     return folder;
   }
 
-  /** What is there when power is back after a loss that took every write that was not synced. */
+  /** Returns the folder after a power failure that dropped all unsynced writes. */
   withSyncedOnly(): SimulatedFolder {
     const folder = new SimulatedFolder();
     for (const [name, file] of this.files) {
@@ -88,7 +88,7 @@
     return folder;
   }
 
-  /** Flips a bit of a file, as a bad sector would. */
+  /** Flips a bit of a file, like a bad sector. */
   damage(name: string, offset: number): void {
     const file = this.files.get(name)!;
     file.sync();
@@ -169,7 +169,7 @@
         if (bytesWritten === 0) throw Object.assign(new Error('no space'), { code: 'ENOSPC' });
         this.freeBytes -= bytesWritten;
         const written = Buffer.from(bytes.subarray(start, start + bytesWritten));
-        // Power may go in the middle of a write, so that it counts as one of the unsynced.
+        // Recorded before the step, since power may fail during the write.
         file.unsynced.push({ bytes: written, offset });
         await step('write');
         return { bytesWritten };
--- a/tests/support/simulated-kills.ts
+++ b/tests/support/simulated-kills.ts
@@ -1,4 +1,4 @@
-/** Processes on one simulated disk, one after the other, each killed at a drawn operation. */
+/** Runs processes on one simulated disk in sequence, each killed at a random operation. */
 import type { SeededRandom } from '../../src/common/index.js';
 import type { SimulatedDisk } from './simulated-disk.js';
 
@@ -7,15 +7,15 @@
   disk: SimulatedDisk;
   random: SeededRandom;
   maxProcesses: number;
-  /** About as many operations as a process has. */
+  /** Approximate number of operations of a process. */
   operations: number;
-  /** Runs one process until it is killed at an operation, counted from 1, or until it ends by itself. */
+  /** Runs a process until it is killed at this operation, counted from 1, or exits. */
   runProcess: (killAt: number) => Promise<void>;
 }
 
 /**
- * Half of the deaths take the machine's power along; the last process ends by itself.
- * @returns what was wrong; undefined when nothing was
+ * Half of the kills are power failures; the last process is not killed.
+ * @returns a description of the error, or undefined
  */
 export async function runKillSchedule(schedule: KillSchedule): Promise<string | undefined> {
   const { seed, disk, random, maxProcesses: maxProcesses, operations, runProcess } = schedule;
--- a/tests/support/simulated-time.ts
+++ b/tests/support/simulated-time.ts
@@ -1,16 +1,16 @@
 /**
- * Time that passes only while everything waits, so that no load of the machine moves what a test measures: it goes on
- * to the next timer once nothing is left to do at this moment. Work itself takes no time.
+ * Simulated time that advances to the next timer only when the event loop is idle, so that the load of the machine
+ * does not affect the measured times. Computation takes no simulated time.
  */
 import { onTestFinished, vi } from 'vitest';
 import { SeededRandom } from '../../src/common/index.js';
 
-/** As in Node, no timer is shorter. */
-const SHORTEST_TIMER_MS = 1;
+/** Minimum delay of a timer, as in Node.js. */
+const MIN_TIMER_MS = 1;
 
-const nextTurnOfTheLoop = setImmediate;
+const nextEventLoopTurn = setImmediate;
 
-/** Simulates time, and draws chance from a seed, from now to the end of the test. */
+/** Simulates time and seeds `Math.random` until the end of the test. */
 export function simulateTime(seed: number): void {
   const random = new SeededRandom(seed);
   vi.useFakeTimers({
@@ -26,19 +26,19 @@
     ],
   });
   const simulatedTimer = globalThis.setTimeout;
-  const asInNode = (work: () => void, delayMs = 0): NodeJS.Timeout =>
-    simulatedTimer(work, Math.max(SHORTEST_TIMER_MS, Math.trunc(delayMs)));
-  vi.spyOn(globalThis, 'setTimeout').mockImplementation(asInNode as typeof setTimeout);
+  const setNodeTimeout = (work: () => void, delayMs = 0): NodeJS.Timeout =>
+    simulatedTimer(work, Math.max(MIN_TIMER_MS, Math.trunc(delayMs)));
+  vi.spyOn(globalThis, 'setTimeout').mockImplementation(setNodeTimeout as typeof setTimeout);
   vi.spyOn(Math, 'random').mockImplementation(() => random.uniform());
-  let isOver = false;
+  let hasEnded = false;
   const passTime = (): void => {
-    if (isOver) return;
+    if (hasEnded) return;
     vi.advanceTimersToNextTimer();
-    nextTurnOfTheLoop(passTime);
+    nextEventLoopTurn(passTime);
   };
-  nextTurnOfTheLoop(passTime);
+  nextEventLoopTurn(passTime);
   onTestFinished(() => {
-    isOver = true;
+    hasEnded = true;
     vi.restoreAllMocks();
     vi.useRealTimers();
   });
--- a/tests/support/small-fleet.ts
+++ b/tests/support/small-fleet.ts
@@ -1,4 +1,4 @@
-/** A small fleet of real processes behind the fault-injecting proxy, for one test file. */
+/** A small fleet of real processes behind the fault proxy, for one test file. */
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
--- a/tests/support/strict-caller.ts
+++ b/tests/support/strict-caller.ts
@@ -1,15 +1,14 @@
-/** A caller on a raw socket that takes an answer for complete only if its framing says so. */
+/** A client on a raw socket that accepts a response as complete only if its framing says so. */
 import { type Socket, connect } from 'node:net';
 
-/** How the caller's connection ended. */
 export type ConnectionEnd = 'closed' | 'reset' | 'open';
 
 export interface StrictResponse {
   status: number | undefined;
   body: string;
-  /** Whether the framing says that the whole body is there. */
+  /** Whether the body is complete according to the framing. */
   isComplete: boolean;
-  /** Bytes beyond the end of the answer. */
+  /** Bytes after the end of the response. */
   trailing: string;
 }
 
@@ -22,7 +21,7 @@
 const END_OF_HEAD = '\r\n\r\n';
 const LINE_END = '\r\n';
 
-/** Reads an answer from its bytes, as RFC 9112 frames it. */
+/** Parses a response with the framing of RFC 9112. */
 export function parseResponse(bytes: string, end: ConnectionEnd): StrictResponse {
   const headEnd = bytes.indexOf(END_OF_HEAD);
   if (headEnd < 0) return { status: undefined, body: '', isComplete: false, trailing: '' };
@@ -92,7 +91,7 @@
     return new StrictCaller(socket);
   }
 
-  /** What has come so far. */
+  /** The response received so far. */
   get response(): StrictResponse {
     return parseResponse(this.bytes, this.end);
   }
@@ -101,7 +100,7 @@
     return this.end !== 'open';
   }
 
-  /** Resolves once the gateway has closed the connection; what has come then is final. */
+  /** Resolves with the final response once the gateway has closed the connection. */
   async waitUntilClosed(): Promise<StrictResponse> {
     await this.ended;
     return this.response;
--- a/tests/support/wait-until.ts
+++ b/tests/support/wait-until.ts
@@ -2,13 +2,13 @@
 
 const POLL_MS = 5;
 
-/** Waits until a condition holds; fails the test when it does not in time. */
+/** Polls a condition until it holds; throws after the timeout. */
 export async function waitUntil(
   what: string,
   condition: () => boolean | Promise<boolean>,
-  patienceMs = 15_000,
+  timeoutMs = 15_000,
 ): Promise<void> {
-  const deadline = performance.now() + patienceMs;
+  const deadline = performance.now() + timeoutMs;
   while (performance.now() < deadline) {
     if (await condition()) return;
     await sleep(POLL_MS);
--- a/tests/support/watched-directory.ts
+++ b/tests/support/watched-directory.ts
@@ -1,4 +1,4 @@
-/** What a gateway holds of a directory that it follows over real links, for tests. */
+/** Watches a directory over real connections, like a gateway. */
 import { onTestFinished } from 'vitest';
 import { GroupClient, PeerDirectory } from '../../src/consensus/index.js';
 import {
@@ -10,14 +10,14 @@
 import { MethodRouter } from '../../src/wire/index.js';
 
 export interface WatchedState {
-  /** Of the configuration; 0 before the first. */
+  /** Generation of the configuration; 0 before the first one. */
   generation: number;
   backends: readonly BackendRecord[];
 }
 
 /**
- * Follows the directory until the test is over.
- * @param addresses of its members
+ * Watches the directory until the end of the test.
+ * @param addresses addresses of the directory members
  */
 export function watchDirectory(addresses: string[], secret: string): WatchedState {
   const peers = new PeerDirectory({
@@ -27,15 +27,15 @@
     resolveAddress: (address) => address,
   });
   onTestFinished(() => peers.close());
-  const held: WatchedState = { generation: 0, backends: [] };
+  const state: WatchedState = { generation: 0, backends: [] };
   const watcher = new DirectoryWatcher({
     client: new DirectoryClient(new GroupClient({ peers, addresses })),
     announce: () => ({ name: 'gateway-1', role: 'gateway', address: 'g:1', zone: 'z' }),
     logger: createLogger({}),
-    onConfiguration: ({ generation }) => (held.generation = generation),
-    onBackends: (backends) => (held.backends = backends),
+    onConfiguration: ({ generation }) => (state.generation = generation),
+    onBackends: (backends) => (state.backends = backends),
   });
   watcher.start();
   onTestFinished(() => watcher.stop());
-  return held;
+  return state;
 }
