--- a/lab/load/backend-records.ts
+++ b/lab/load/backend-records.ts
@@ -1,4 +1,4 @@
-/** What back ends recorded of a run. */
+/** Reads the records of a load run from the backends. */
 import { request } from 'undici';
 import type { ArrivalRecord, ReleaseRecord } from '../../emulator/engine/engine-server.js';
 import type { CacheUsage } from '../../emulator/model/prefix-cache.js';
@@ -24,7 +24,7 @@
   services: ServiceRecords[];
 }
 
-/** Reads the records of all back ends that are running. */
+/** Reads the records of all running backends. */
 export async function readBackendRecords(fleet: Fleet): Promise<BackendRecords> {
   const engines = await Promise.all(
     fleet
--- a/lab/load/gateway-clients.ts
+++ b/lab/load/gateway-clients.ts
@@ -1,4 +1,4 @@
-/** Callers of a fleet: for each gateway one client a tenant that prefers it. */
+/** Creates clients of a fleet: for each gateway, one client per tenant that prefers it. */
 import { ProgramClient, type ProgramClientOptions } from '../../src/client/index.js';
 import type { Fleet } from '../fleet/fleet.js';
 import { rotate } from '../fleet/rotate.js';
@@ -8,7 +8,7 @@
 
 type ClientOptions = Omit<ProgramClientOptions, 'gateways' | 'apiKey'>;
 
-/** One set of clients for each gateway, so that load comes in at all of them. */
+/** Creates one set of clients per gateway, so that the load is spread over all gateways. */
 export function createGatewayClients(fleet: Fleet, options: ClientOptions): TenantClients[] {
   const { clientGateways, tenantKeys } = fleet.plan;
   return clientGateways.map((_, position) => {
--- a/lab/load/load-run.ts
+++ b/lab/load/load-run.ts
@@ -1,4 +1,4 @@
-/** Drives a seeded workload against a fleet: open loop (a rate) or closed loop (so many at once). */
+/** Runs a seeded workload against a fleet: open loop (by rate) or closed loop (by concurrency). */
 import type { ProgramClient } from '../../src/client/index.js';
 import { SeededRandom, monotonicMs, sleep } from '../../src/common/index.js';
 import type { Fleet } from '../fleet/fleet.js';
@@ -11,13 +11,13 @@
   seed: number;
   timeScale: number;
   sizeScale: number;
-  /** Root programs to submit at most. */
+  /** Maximum number of root programs. */
   programs: number;
-  /** Root programs a second; with a rate, latency counts from the intended start. */
+  /** Root programs per second; if set, latency is measured from the intended start. */
   ratePerSecond?: number;
-  /** Root programs at a time, when there is no rate. */
+  /** Number of concurrent root programs if no rate is set. */
   concurrency: number;
-  /** No new programs after this time, in milliseconds. */
+  /** Time after which no new programs are started, in milliseconds. */
   durationMs: number;
   patienceMs: number;
   onProgress?: (started: number, finished: number) => void;
@@ -35,19 +35,19 @@
   const state = { started: 0, finished: 0 };
   const runOne = async (submittedAtMs: number): Promise<void> => {
     state.started += 1;
-    const pool = clients[state.started % clients.length]!;
-    const clientOf = (tenant: string): ProgramClient => pool.get(tenant)!;
+    const tenantClients = clients[state.started % clients.length]!;
+    const clientOf = (tenant: string): ProgramClient => tenantClients.get(tenant)!;
     await new ProgramRunner(workload.nextProgram(), { clientOf, recorder }).run(submittedAtMs);
     state.finished += 1;
     options.onProgress?.(state.started, state.finished);
   };
-  if (options.ratePerSecond === undefined) await runClosed(options, state, runOne);
-  else await runOpen(options, options.ratePerSecond, runOne);
+  if (options.ratePerSecond === undefined) await runClosedLoop(options, state, runOne);
+  else await runOpenLoop(options, options.ratePerSecond, runOne);
   await closeClients(clients);
   return recorder;
 }
 
-async function runClosed(
+async function runClosedLoop(
   options: LoadOptions,
   state: { started: number },
   runOne: (submittedAtMs: number) => Promise<void>,
@@ -59,8 +59,8 @@
   await Promise.all(Array.from({ length: options.concurrency }, worker));
 }
 
-/** Programs start when they are due, whether or not earlier ones have ended. */
-async function runOpen(
+/** Starts programs at their scheduled times, regardless of those still running. */
+async function runOpenLoop(
   options: LoadOptions,
   ratePerSecond: number,
   runOne: (submittedAtMs: number) => Promise<void>,
--- a/lab/load/summary.ts
+++ b/lab/load/summary.ts
@@ -1,4 +1,4 @@
-/** The figures of a load run. */
+/** Summarizes a load run. */
 import type { WorkloadRecorder } from '../workload/recorder.js';
 import type { BackendRecords } from './backend-records.js';
 import { type Percentiles, computePercentiles } from './percentiles.js';
@@ -8,19 +8,19 @@
   programsCompleted: number;
   calls: number;
   callsWrong: number;
-  /** Calls without a final answer, and programs' calls answered as unknown without a fault. */
+  /** Calls without a final answer. */
   callsLost: number;
   callsNotRun: number;
   callsUnknown: number;
-  /** Requests that may run once and ran more often. */
+  /** Repeated executions of non-repeatable requests. */
   repeatedNonRepeatable: number;
   programLatencyMs: Percentiles;
   programLatencyMsByClass: Record<string, Percentiles>;
   firstTokenMs: Percentiles;
   serviceCallMs: Percentiles;
-  /** Prefix tokens computed again, as a share of all prompt tokens computed. */
+  /** Recomputed prefix tokens as a fraction of all computed prompt tokens. */
   wastedCacheShare: number;
-  /** Prompt tokens served from caches, as a share of all prompt tokens. */
+  /** Prompt tokens served from caches as a fraction of all prompt tokens. */
   cachedShare: number;
 }
 
@@ -78,11 +78,11 @@
   };
 }
 
-/** Counts executions beyond the first of calls that may not be repeated. */
+/** Counts the executions of non-repeatable calls beyond the first. */
 function countRepeats(recorder: WorkloadRecorder, records: BackendRecords): number {
   const executions = new Map<string, number>();
-  for (const { executions: own } of records.services) {
-    for (const { key } of own) {
+  for (const { executions: serviceExecutions } of records.services) {
+    for (const { key } of serviceExecutions) {
       const call = key.slice(0, key.lastIndexOf('/'));
       executions.set(call, (executions.get(call) ?? 0) + 1);
     }
