--- a/lab/workload/program-plan.ts
+++ b/lab/workload/program-plan.ts
@@ -1,8 +1,8 @@
-/** Programs as a workload generates them: known to the load tool, unknown to the system. */
+/** Programs that a workload generates; the system under test does not know them in advance. */
 
 export interface ModelTurn {
   kind: 'model';
-  /** Text that the turn adds to the history. */
+  /** Text of the user message. */
   text: string;
   maxTokens: number;
 }
@@ -15,14 +15,14 @@
   isRepeatable: boolean;
 }
 
-/** A tool runs outside of the system; the program waits for it. */
+/** The program waits for a tool that runs outside of the system. */
 export interface PauseTurn {
   kind: 'pause';
-  /** In milliseconds of wall-clock time. */
+  /** Wall-clock time in milliseconds. */
   durationMs: number;
 }
 
-/** Sub-agents that run side by side; the program goes on when all have ended. */
+/** The program waits for sub-agents that run concurrently. */
 export interface SpawnTurn {
   kind: 'spawn';
   children: ProgramPlan[];
@@ -31,7 +31,7 @@
 export type Turn = ModelTurn | ServiceTurn | PauseTurn | SpawnTurn;
 
 export interface ProgramPlan {
-  /** Class of program, for the tables. */
+  /** Program class by which results are grouped. */
   className: string;
   tenant: string;
   model: string;
--- a/lab/workload/program-runner.ts
+++ b/lab/workload/program-runner.ts
@@ -1,4 +1,4 @@
-/** Runs one planned program as its caller would, and checks every answer. */
+/** Runs a planned program as a caller, and verifies the answers. */
 import { expectedAnswer } from '../../emulator/model/answer-text.js';
 import { expectedServiceAnswer } from '../../emulator/service/service-server.js';
 import {
@@ -19,11 +19,11 @@
 export interface ProgramRunnerOptions {
   clientOf: (tenant: string) => ProgramClient;
   recorder: WorkloadRecorder;
-  /** Called when a root program's place in the workload is free again. */
+  /** Stops the program before its next turn when aborted. */
   signal?: AbortSignal;
 }
 
-/** A program stops when one of its calls has no answer. */
+/** Thrown to stop a program that was aborted or whose sub-agent did not complete. */
 class ProgramStopped extends Error {}
 
 export class ProgramRunner {
@@ -38,7 +38,7 @@
     private readonly parent?: string,
   ) {}
 
-  /** Runs the program to its end; resolves with whether all its calls were completed. */
+  /** Runs and ends the program; resolves with whether all its calls completed. */
   async run(submittedAtMs: number = Date.now()): Promise<boolean> {
     const { tenant, className, model, budget, systemPrompt } = this.plan;
     this.observed = {
@@ -97,22 +97,22 @@
         this.observed.pausedMs += turn.durationMs;
         return sleep(turn.durationMs, this.options.signal);
       case 'spawn':
-        return this.runChildren(turn.children);
+        return this.runSubAgents(turn.children);
     }
   }
 
   private async runModelTurn(turn: ModelTurn): Promise<void> {
     const isFirst = !this.history.some((message) => message.role === 'user');
-    const own: ChatMessage = { role: 'user', content: turn.text };
-    const delta = isFirst ? [...this.history, own] : [own];
-    const whole = [...this.history, own];
+    const userMessage: ChatMessage = { role: 'user', content: turn.text };
+    const delta = isFirst ? [...this.history, userMessage] : [userMessage];
+    const fullHistory = [...this.history, userMessage];
     const { model } = this.plan;
     const observed = this.startCall('model', true);
     observed.knownPrefixTokens = this.knownPrefixTokens;
     const answer = await this.observe(observed, () => this.program.call(delta, turn.maxTokens));
-    observed.isCorrect = answer.content === expectedAnswer(model, whole, turn.maxTokens);
+    observed.isCorrect = answer.content === expectedAnswer(model, fullHistory, turn.maxTokens);
     this.options.recorder.recordCall(observed);
-    this.history.push(own, { role: 'assistant', content: answer.content });
+    this.history.push(userMessage, { role: 'assistant', content: answer.content });
     this.knownPrefixTokens = countMessageTokens(this.history);
   }
 
@@ -128,7 +128,7 @@
     this.options.recorder.recordCall(observed);
   }
 
-  private async runChildren(children: ProgramPlan[]): Promise<void> {
+  private async runSubAgents(children: ProgramPlan[]): Promise<void> {
     const { id } = this.program;
     const results = await Promise.all(
       children.map((child) => new ProgramRunner(child, this.options, id).run()),
@@ -169,10 +169,10 @@
       this.observed.lastAnswerAtMs = observed.endedAtMs;
       return answer;
     } catch (error) {
-      observed.outcome = outcomeOf(error);
+      observed.outcome = classifyError(error);
       observed.endedAtMs = Date.now();
       if (error instanceof CallFailedError) observed.problemCode = error.problem.code;
-      // A call without an answer cannot be a wrong one.
+      // Only answers that were received can be incorrect.
       observed.isCorrect = true;
       this.options.recorder.recordCall(observed);
       throw error;
@@ -180,7 +180,7 @@
   }
 }
 
-function outcomeOf(error: unknown): ObservedOutcome {
+function classifyError(error: unknown): ObservedOutcome {
   if (!(error instanceof CallFailedError)) return 'pending';
   return error.problem.outcome === 'not_run' ? 'not_run' : 'unknown';
 }
--- a/lab/workload/recorder.ts
+++ b/lab/workload/recorder.ts
@@ -1,4 +1,4 @@
-/** What callers saw, kept for the tables and for the checker. */
+/** Observations of callers, input of the reports and the checker. */
 import type { GatewayAnswer } from '../../src/client/index.js';
 
 export type ObservedOutcome = 'completed' | 'not_run' | 'unknown' | 'pending';
@@ -13,18 +13,18 @@
   startedAtMs: number;
   endedAtMs: number;
   outcome: ObservedOutcome;
-  /** Code of the problem, when there was one. */
+  /** Problem code of a failed call. */
   problemCode?: string;
-  /** What a service call asked for. */
+  /** Payload of a service call. */
   payload?: string;
-  /** The answer, when there was one. */
+  /** Content of the answer of a completed call. */
   answer?: string;
-  /** Whether the answer is the one that follows from what the caller sent. */
+  /** False if the answer differs from the expected one. */
   isCorrect: boolean;
   firstTokenMs?: number;
   usage?: GatewayAnswer['usage'];
   cost: number;
-  /** Prompt tokens that were computed for the same program before. */
+  /** Prompt tokens already computed for earlier calls of the program. */
   knownPrefixTokens: number;
   exchanges: number;
 }
@@ -33,7 +33,7 @@
   id: string;
   className: string;
   tenant: string;
-  /** Wall-clock time at which it was meant to start, in milliseconds. */
+  /** Wall-clock time of the intended start, in milliseconds. */
   submittedAtMs: number;
   lastAnswerAtMs: number;
   endedAtMs: number;
@@ -42,7 +42,7 @@
   isComplete: boolean;
   /** Whether the system confirmed the program's end. */
   isEnded: boolean;
-  /** Time spent in the program's own tools, which no scheduler can shorten. */
+  /** Time spent waiting for tools outside of the system, in milliseconds. */
   pausedMs: number;
 }
 
--- a/lab/workload/workload.ts
+++ b/lab/workload/workload.ts
@@ -1,6 +1,6 @@
 /**
- * Seeded mixes of programs for both deployments: heavy-tailed numbers of turns, sub-agents, tool
- * pauses, small service calls. All shapes are assumed from the users' words, none is measured.
+ * Generates seeded mixes of programs for both deployments: heavy-tailed numbers of turns, sub-agents,
+ * tool pauses and small service calls.
  */
 import { SeededRandom } from '../../src/common/index.js';
 import type { Deployment } from '../fleet/topology.js';
@@ -9,20 +9,20 @@
 export interface WorkloadOptions {
   deployment: Deployment;
   seed: number;
-  /** Wall-clock time of one unit of model time; pauses shrink with it. */
+  /** Wall-clock time per unit of model time; also scales pauses. */
   timeScale: number;
-  /** Multiplies lengths of prompts and answers; below 1 for quick runs. */
+  /** Factor for the lengths of prompts; below 1 for short runs. */
   sizeScale: number;
 }
 
 const WORD_LETTERS = 'abcdefghijklmnopqrstuvwxyz';
 const BUDGET = 5_000_000;
 
-/** Assumed sizes in tokens, and times in model milliseconds. */
+/** Sizes in tokens and times in milliseconds of model time. */
 const SYSTEM_PROMPT_TOKENS = 1_200;
-const TURN_TOKENS_MINIMUM = 60;
+const MIN_TURN_TOKENS = 60;
 const TURN_TOKENS_EXPONENT = 1.7;
-const TURN_TOKENS_MAXIMUM = 4_000;
+const MAX_TURN_TOKENS = 4_000;
 const MAX_OUTPUT_TOKENS = 256;
 const MEAN_PAUSE_MS = 1_500;
 const LONG_PAUSE_MS = 20_000;
@@ -31,7 +31,7 @@
 export class Workload {
   private readonly random: SeededRandom;
   private readonly systemPrompts = new Map<string, string>();
-  private payloads = 0;
+  private payloadCount = 0;
 
   constructor(private readonly options: WorkloadOptions) {
     this.random = new SeededRandom(options.seed);
@@ -41,7 +41,6 @@
     }
   }
 
-  /** The next program of the mix. */
   nextProgram(): ProgramPlan {
     const tenant = this.random.pick(this.options.deployment.tenants);
     return this.options.deployment.name === 'pipeline'
@@ -50,35 +49,35 @@
   }
 
   private nextReview(tenant: string): ProgramPlan {
-    const roll = this.random.uniform();
-    if (roll < 0.45) {
+    const draw = this.random.uniform();
+    if (draw < 0.45) {
       return this.program('lint', tenant, [this.service('build-status'), this.modelTurn()]);
     }
-    const turns = this.walk(roll < 0.85 ? 3 : 5);
-    if (roll >= 0.85) turns.splice(2, 0, this.spawn(tenant));
+    const turns = this.agentTurns(draw < 0.85 ? 3 : 5);
+    if (draw >= 0.85) turns.splice(2, 0, this.spawn(tenant));
     turns.push(this.service('post-status', false));
-    return this.program(roll < 0.85 ? 'walk' : 'branch', tenant, turns);
+    return this.program(draw < 0.85 ? 'walk' : 'branch', tenant, turns);
   }
 
   private nextPayroll(tenant: string): ProgramPlan {
-    const roll = this.random.uniform();
-    if (roll < 0.25) {
+    const draw = this.random.uniform();
+    if (draw < 0.25) {
       return this.program('payslip', tenant, [this.service('payslip'), this.modelTurn()]);
     }
-    const turns = this.walk(roll < 0.8 ? 3 : 4);
-    if (roll >= 0.8) turns.splice(2, 0, this.longPause());
-    if (roll >= 0.9) turns.splice(1, 0, this.spawn(tenant));
+    const turns = this.agentTurns(draw < 0.8 ? 3 : 4);
+    if (draw >= 0.8) turns.splice(2, 0, this.longPause());
+    if (draw >= 0.9) turns.splice(1, 0, this.spawn(tenant));
     turns.push(this.service('pay-worker', false));
-    return this.program(roll < 0.8 ? 'monthly' : 'severance', tenant, turns);
+    return this.program(draw < 0.8 ? 'monthly' : 'severance', tenant, turns);
   }
 
-  /** Model calls with tool pauses between; the number of calls has a heavy tail. */
-  private walk(minimum: number): Turn[] {
+  /** Creates a heavy-tailed number of model calls with tool pauses in between. */
+  private agentTurns(minimum: number): Turn[] {
     const count = Math.min(MAX_TURNS, Math.round(this.random.pareto(minimum, 1.5)));
     const turns: Turn[] = [];
     for (let index = 0; index < count; index += 1) {
       if (index > 0) turns.push(this.pause());
-      if (this.random.chance(0.25)) turns.push(this.service(this.readService()));
+      if (this.random.chance(0.25)) turns.push(this.service(this.readServiceName()));
       turns.push(this.modelTurn());
     }
     return turns;
@@ -87,7 +86,7 @@
   private spawn(tenant: string): Turn {
     const count = this.random.integer(2, 4);
     const children = Array.from({ length: count }, () =>
-      this.program('sub-agent', tenant, this.walk(1).slice(0, 5)),
+      this.program('sub-agent', tenant, this.agentTurns(1).slice(0, 5)),
     );
     return { kind: 'spawn', children };
   }
@@ -99,19 +98,19 @@
   }
 
   private modelTurn(): ModelTurn {
-    const drawn = this.random.pareto(TURN_TOKENS_MINIMUM, TURN_TOKENS_EXPONENT);
-    const tokens = Math.min(TURN_TOKENS_MAXIMUM, drawn) * this.options.sizeScale;
+    const drawn = this.random.pareto(MIN_TURN_TOKENS, TURN_TOKENS_EXPONENT);
+    const tokens = Math.min(MAX_TURN_TOKENS, drawn) * this.options.sizeScale;
     return { kind: 'model', text: this.text(Math.ceil(tokens)), maxTokens: MAX_OUTPUT_TOKENS };
   }
 
   private service(service: string, isRepeatable = true): ServiceTurn {
-    this.payloads += 1;
-    const payload = `${service}-${this.options.seed}-${this.payloads}`;
+    this.payloadCount += 1;
+    const payload = `${service}-${this.options.seed}-${this.payloadCount}`;
     const operation = isRepeatable ? 'read' : 'write';
     return { kind: 'service', service, operation, payload, isRepeatable };
   }
 
-  private readService(): string {
+  private readServiceName(): string {
     return this.options.deployment.name === 'pipeline' ? 'log-fetch' : 'portal-status';
   }
 
