--- a/lab/bench/bench-report.test.ts
+++ b/lab/bench/bench-report.test.ts
@@ -1,13 +1,13 @@
 import { describe, expect, it } from 'vitest';
 import { computePercentiles } from '../load/percentiles.js';
 import type { BenchRunResult } from './bench-run.js';
-import { reportBench } from './bench-report.js';
+import { createBenchReport } from './bench-report.js';
 import { BENCH_POLICIES } from './policies.js';
 
-const NOTHING = computePercentiles([]);
+const NO_SAMPLES = computePercentiles([]);
 
-function run(policy: string, seed: number, p95: number, recomputed: number): BenchRunResult {
-  const latency = { ...NOTHING, p50: p95 / 2, p95, p99: p95 };
+function createRun(policy: string, seed: number, p95: number, recomputed: number): BenchRunResult {
+  const latency = { ...NO_SAMPLES, p50: p95 / 2, p95, p99: p95 };
   return {
     policy,
     seed,
@@ -26,22 +26,24 @@
       repeatedNonRepeatable: 0,
       programLatencyMs: latency,
       programLatencyMsByClass: { lint: latency },
-      firstTokenMs: NOTHING,
-      serviceCallMs: { ...NOTHING, p99: 10 },
+      firstTokenMs: NO_SAMPLES,
+      serviceCallMs: { ...NO_SAMPLES, p99: 10 },
       wastedCacheShare: recomputed,
       cachedShare: 0.5,
     },
   };
 }
 
-describe('a bench report', () => {
-  it('compares with the best baseline of each seed', () => {
+describe('bench report', () => {
+  it('compares our policy with the best baseline of each seed', () => {
     const [ours, ...baselines] = BENCH_POLICIES.map(({ name }) => name);
     const runs = [1, 2].flatMap((seed) => [
-      run(ours!, seed, 600, 0.1),
-      ...baselines.map((name, index) => run(name, seed, 1_000 + index * 100, 0.2 + index * 0.1)),
+      createRun(ours!, seed, 600, 0.1),
+      ...baselines.map((name, index) =>
+        createRun(name, seed, 1_000 + index * 100, 0.2 + index * 0.1),
+      ),
     ]);
-    const [ratios] = reportBench('pipeline', { capacity: 20, runs }).ratios;
+    const [ratios] = createBenchReport('pipeline', { capacity: 20, runs }).ratios;
     expect(ratios!.programP95.mean).toBeCloseTo(0.6);
     expect(ratios!.recomputed.mean).toBeCloseTo(0.5);
     expect(ratios!.goodput).toEqual({ mean: 1, lowest: 1, highest: 1 });
--- a/lab/bench/bench-report.ts
+++ b/lab/bench/bench-report.ts
@@ -1,8 +1,8 @@
-/** Adds up bench runs: each policy at each load, and ours against the best baseline. */
+/** Summarizes bench runs per policy and load, and compares our policy with the best baseline. */
 import type { BenchResult, BenchRunResult } from './bench-run.js';
 import { BENCH_POLICIES } from './policies.js';
 
-export interface PolicyFigures {
+export interface PolicyStats {
   policy: string;
   load: number;
   /** Means over seeds. */
@@ -16,14 +16,14 @@
 
 export interface LoadRatios {
   load: number;
-  /** Ours divided by the best baseline of the same seed; below 1 is better, except for goodput. */
-  programP95: Spread;
-  recomputed: Spread;
-  goodput: Spread;
-  serviceP99: Spread;
+  /** Our policy relative to the best baseline of the same seed; below 1 is better, except for goodput. */
+  programP95: RatioStats;
+  recomputed: RatioStats;
+  goodput: RatioStats;
+  serviceP99: RatioStats;
 }
 
-export interface Spread {
+export interface RatioStats {
   mean: number;
   lowest: number;
   highest: number;
@@ -32,13 +32,13 @@
 export interface BenchReport {
   deployment: string;
   seeds: number[];
-  /** Programs a second at full load. */
+  /** Programs per second at full load. */
   capacity: number;
-  policies: PolicyFigures[];
+  policies: PolicyStats[];
   ratios: LoadRatios[];
 }
 
-export function reportBench(deployment: string, result: BenchResult): BenchReport {
+export function createBenchReport(deployment: string, result: BenchResult): BenchReport {
   const loads = [...new Set(result.runs.map((run) => run.load))];
   return {
     deployment,
@@ -47,11 +47,11 @@
     policies: loads.flatMap((load) =>
       BENCH_POLICIES.map(({ name }) => {
         const runs = result.runs.filter((run) => run.load === load && run.policy === name);
-        return figuresOf(name, load, runs);
+        return computePolicyStats(name, load, runs);
       }),
     ),
     ratios: loads.map((load) =>
-      ratiosOf(
+      computeLoadRatios(
         load,
         result.runs.filter((run) => run.load === load),
       ),
@@ -59,7 +59,11 @@
   };
 }
 
-function figuresOf(policy: string, load: number, runs: readonly BenchRunResult[]): PolicyFigures {
+function computePolicyStats(
+  policy: string,
+  load: number,
+  runs: readonly BenchRunResult[],
+): PolicyStats {
   const average = (read: (run: BenchRunResult) => number): number => mean(runs.map(read));
   const classes = new Set(runs.flatMap((run) => Object.keys(run.summary.programLatencyMsByClass)));
   return {
@@ -87,26 +91,26 @@
   };
 }
 
-function ratiosOf(load: number, runs: readonly BenchRunResult[]): LoadRatios {
-  const [ours, ...baselines] = BENCH_POLICIES.map(({ name }) => name);
+function computeLoadRatios(load: number, runs: readonly BenchRunResult[]): LoadRatios {
+  const [ourPolicy, ...baselines] = BENCH_POLICIES.map(({ name }) => name);
   const seeds = [...new Set(runs.map((run) => run.seed))];
-  const ratio = (
+  const ratioStats = (
     read: (run: BenchRunResult) => number,
-    best: (...values: number[]) => number,
-  ): Spread => {
+    selectBest: (...values: number[]) => number,
+  ): RatioStats => {
     const ratios = seeds.map((seed) => {
-      const of = (policy: string): number =>
+      const valueOf = (policy: string): number =>
         read(runs.find((run) => run.seed === seed && run.policy === policy)!);
-      return of(ours!) / best(...baselines.map(of));
+      return valueOf(ourPolicy!) / selectBest(...baselines.map(valueOf));
     });
     return { mean: mean(ratios), lowest: Math.min(...ratios), highest: Math.max(...ratios) };
   };
   return {
     load,
-    programP95: ratio((run) => run.summary.programLatencyMs.p95, Math.min),
-    recomputed: ratio((run) => run.waste.recomputed, Math.min),
-    goodput: ratio((run) => run.goodput, Math.max),
-    serviceP99: ratio((run) => run.summary.serviceCallMs.p99, Math.min),
+    programP95: ratioStats((run) => run.summary.programLatencyMs.p95, Math.min),
+    recomputed: ratioStats((run) => run.waste.recomputed, Math.min),
+    goodput: ratioStats((run) => run.goodput, Math.max),
+    serviceP99: ratioStats((run) => run.summary.serviceCallMs.p99, Math.min),
   };
 }
 
--- a/lab/bench/bench-run.ts
+++ b/lab/bench/bench-run.ts
@@ -1,6 +1,6 @@
 /**
- * Runs every policy on the same seeds and loads, interleaved, on one fleet whose gateways and engines
- * are started anew for each run, so that none finds the caches of another.
+ * Runs every policy with the same seeds and loads on one fleet, interleaved. Gateways and engines are
+ * restarted before each run, so that no run reuses the caches of another.
  */
 import type { Fleet, FleetOptions } from '../fleet/fleet.js';
 import type { Deployment } from '../fleet/topology.js';
@@ -13,14 +13,14 @@
   BENCH_POLICIES,
   type BenchPolicy,
   type BenchWeights,
-  gatewaySettingsOf,
+  createGatewaySettings,
 } from './policies.js';
 
 export interface BenchOptions {
-  /** A fleet with `benchFleet`'s options. */
+  /** Fleet that was started with `benchFleetOptions`. */
   fleet: Fleet;
   seeds: number[];
-  /** Loads as shares of what the fleet can carry. */
+  /** Loads as fractions of the capacity of the fleet. */
   loads: number[];
   durationMs: number;
   report: (step: string) => void;
@@ -32,14 +32,14 @@
   load: number;
   summary: LoadSummary;
   waste: CacheWaste;
-  /** Share of calls that went to the engine of the call before. */
+  /** Fraction of calls that went to the same engine as the previous call of the program. */
   returns: number;
-  /** Programs completed a second while others still arrive. */
+  /** Programs completed per second while new programs arrive. */
   goodput: number;
 }
 
 export interface BenchResult {
-  /** Programs a second that the fleet completes when it is never idle. */
+  /** Programs per second that the saturated fleet completes. */
   capacity: number;
   runs: BenchRunResult[];
 }
@@ -48,26 +48,29 @@
 const SIZE_SCALE = 1;
 const JOURNAL_GROUPS = 4;
 const CAPACITY_CONCURRENCY = 96;
-const PATIENCE_MS = 20_000;
+const TIMEOUT_MS = 20_000;
 const MS_PER_SECOND = 1_000;
 /**
- * Engines small enough for one machine's callers to fill: few sequences at a time, costly prompts, and
- * memory so scarce that what is kept matters. Assumed, like the emulator's other constants.
+ * Small engines that the callers of one machine can saturate: small batches, expensive prefill, and so
+ * little cache memory that retention decisions matter.
  */
-const BENCH_ENGINE = { maxBatch: 6, stepMsPerPrefillToken: 0.25, cacheTokens: 40_000 };
-const WEIGHTS: Readonly<Record<Deployment['name'], BenchWeights>> = {
+const BENCH_ENGINE_OPTIONS = { maxBatch: 6, stepMsPerPrefillToken: 0.25, cacheTokens: 40_000 };
+const WEIGHTS_BY_DEPLOYMENT: Readonly<Record<Deployment['name'], BenchWeights>> = {
   pipeline: { latencyWeight: 0.7, prefixWeight: 4 },
   consortium: { latencyWeight: 0.6, prefixWeight: 8 },
 };
 
-/** Options of a fleet to run the bench on. */
-export function benchFleet(deployment: Deployment, seed: number): Omit<FleetOptions, 'workFolder'> {
+/** Options of the fleet that the bench runs on. */
+export function benchFleetOptions(
+  deployment: Deployment,
+  seed: number,
+): Omit<FleetOptions, 'workFolder'> {
   return {
     deployment,
     timeScale: TIME_SCALE,
     journalGroups: JOURNAL_GROUPS,
     seed,
-    engineSettings: { model: BENCH_ENGINE },
+    engineSettings: { model: BENCH_ENGINE_OPTIONS },
   };
 }
 
@@ -82,9 +85,9 @@
     for (const seed of seeds) {
       for (const load of loads) {
         for (const policy of BENCH_POLICIES) {
-          const result = await this.runOne(policy, seed, load, load * capacity);
+          const result = await this.runPolicy(policy, seed, load, load * capacity);
           runs.push(result);
-          report(describe(result));
+          report(formatRunResult(result));
         }
       }
     }
@@ -92,14 +95,14 @@
   }
 
   private async measureCapacity(seed: number): Promise<number> {
-    await this.prepare(BENCH_POLICIES[0]!);
+    await this.restartWithPolicy(BENCH_POLICIES[0]!);
     const startedAtMs = Date.now();
-    const recorder = await this.drive(seed, { concurrency: CAPACITY_CONCURRENCY });
+    const recorder = await this.runWorkload(seed, { concurrency: CAPACITY_CONCURRENCY });
     return this.completedPerSecond(recorder, startedAtMs);
   }
 
-  /** Programs arrive for the time of a run: at a rate, or so many at once. */
-  private drive(
+  /** Runs the workload with open-loop (rate) or closed-loop (concurrency) arrivals. */
+  private runWorkload(
     seed: number,
     arrivals: Pick<LoadOptions, 'concurrency' | 'ratePerSecond'>,
   ): Promise<WorkloadRecorder> {
@@ -109,12 +112,12 @@
       sizeScale: SIZE_SCALE,
       programs: Number.POSITIVE_INFINITY,
       durationMs: this.options.durationMs,
-      patienceMs: PATIENCE_MS,
+      patienceMs: TIMEOUT_MS,
       ...arrivals,
     });
   }
 
-  /** Over the second half of the time in which programs arrive: neither the start nor the tail. */
+  /** Measured in the second half of the arrival period, without warm-up and drain. */
   private completedPerSecond(recorder: WorkloadRecorder, startedAtMs: number): number {
     const { durationMs } = this.options;
     const from = startedAtMs + durationMs / 2;
@@ -126,15 +129,15 @@
     return completed.length / (durationMs / 2 / MS_PER_SECOND);
   }
 
-  private async runOne(
+  private async runPolicy(
     policy: BenchPolicy,
     seed: number,
     load: number,
     ratePerSecond: number,
   ): Promise<BenchRunResult> {
-    await this.prepare(policy);
+    await this.restartWithPolicy(policy);
     const startedAtMs = Date.now();
-    const recorder = await this.drive(seed, { concurrency: 0, ratePerSecond });
+    const recorder = await this.runWorkload(seed, { concurrency: 0, ratePerSecond });
     const records = await readBackendRecords(this.options.fleet);
     const summary = summarizeLoad(recorder, records);
     return {
@@ -148,14 +151,17 @@
     };
   }
 
-  /** Starts gateways with a policy's settings, and engines with empty caches. */
-  private async prepare(policy: BenchPolicy): Promise<void> {
+  /** Restarts gateways with the settings of a policy, and engines with empty caches. */
+  private async restartWithPolicy(policy: BenchPolicy): Promise<void> {
     const { fleet } = this.options;
-    const settings = gatewaySettingsOf(policy, WEIGHTS[fleet.plan.deployment.name]);
+    const settings = createGatewaySettings(
+      policy,
+      WEIGHTS_BY_DEPLOYMENT[fleet.plan.deployment.name],
+    );
     const restarted = [...fleet.ofKind('gateway'), ...fleet.ofKind('engine')];
     await Promise.all(
       restarted.map(async (process) => {
-        await process.stop(PATIENCE_MS);
+        await process.stop(TIMEOUT_MS);
         if (process.plan.kind === 'gateway') Object.assign(process.plan.settings, settings);
         await process.start();
       }),
@@ -164,7 +170,7 @@
   }
 }
 
-function describe({
+function formatRunResult({
   policy,
   seed,
   load,
--- a/lab/bench/cache-waste.ts
+++ b/lab/bench/cache-waste.ts
@@ -1,14 +1,14 @@
-/** The three parts of wasted cache, each as a share. */
+/** Measures cache waste and engine affinity of a bench run. */
 import type { BackendRecords } from '../load/backend-records.js';
 import type { WorkloadRecorder } from '../workload/recorder.js';
 import { BLOCK_TOKENS } from '../../emulator/model/engine-options.js';
 
 export interface CacheWaste {
-  /** Prefix tokens computed again although they had been computed for the program, of all computed. */
+  /** Fraction of computed tokens that had been computed for the same program before. */
   recomputed: number;
-  /** Token time in memory that no later call reused, of all. */
+  /** Fraction of the token time in memory that ended without reuse. */
   heldUnused: number;
-  /** Token time in memory after the program's end, of all. */
+  /** Fraction of the token time in memory after the end of the program. */
   heldAfterEnd: number;
 }
 
@@ -35,26 +35,26 @@
   };
 }
 
-/** Share of calls that went to the engine of the program's call before. */
+/** Returns the fraction of calls that went to the same engine as the previous call of the program. */
 export function measureEngineAffinity(records: BackendRecords): number {
-  const arrivals = records.engines.flatMap(({ engine, arrivals: own }) =>
-    own.map((arrival) => ({ ...arrival, engine })),
+  const arrivals = records.engines.flatMap(({ engine, arrivals: engineArrivals }) =>
+    engineArrivals.map((arrival) => ({ ...arrival, engine })),
   );
   const ordered = arrivals.sort((left, right) => left.wallClockMs - right.wallClockMs);
   const lastEngine = new Map<string, string>();
-  let later = 0;
-  let returned = 0;
+  let repeatCalls = 0;
+  let sameEngineCalls = 0;
   for (const { program, engine } of ordered) {
-    const before = lastEngine.get(program);
+    const previousEngine = lastEngine.get(program);
     lastEngine.set(program, engine);
-    if (before === undefined) continue;
-    later += 1;
-    if (before === engine) returned += 1;
+    if (previousEngine === undefined) continue;
+    repeatCalls += 1;
+    if (previousEngine === engine) sameEngineCalls += 1;
   }
-  return ratio(returned, later);
+  return ratio(sameEngineCalls, repeatCalls);
 }
 
-/** In token milliseconds of wall-clock time. */
+/** Returns token-milliseconds of wall-clock time. */
 function tokenTimeAfterEnd(recorder: WorkloadRecorder, records: BackendRecords): number {
   const endedAt = new Map(recorder.programs.map((program) => [program.id, program.endedAtMs]));
   const releases = records.engines.flatMap((engine) => engine.releases);
--- a/lab/bench/policies.ts
+++ b/lab/bench/policies.ts
@@ -1,4 +1,4 @@
-/** What is compared: our policies and the baselines, as settings of the gateways. */
+/** Policies that the bench compares, as settings of the gateways. */
 import type {
   HoldPolicyName,
   QueuePolicyName,
@@ -51,14 +51,14 @@
   },
 ];
 
-/** What a deployment's users weigh most. */
+/** Weights of a deployment in the scores of routing and retention. */
 export interface BenchWeights {
   latencyWeight: number;
   prefixWeight: number;
 }
 
-/** The settings that a policy lays over those of a gateway. */
-export function gatewaySettingsOf(
+/** Settings that override those of a gateway. */
+export function createGatewaySettings(
   policy: BenchPolicy,
   weights: BenchWeights,
 ): Record<string, unknown> {
--- a/lab/cli/bench-command.ts
+++ b/lab/cli/bench-command.ts
@@ -2,8 +2,8 @@
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { LedgegaugeError } from '../../src/common/index.js';
-import { type BenchReport, reportBench } from '../bench/bench-report.js';
-import { BenchRun, benchFleet } from '../bench/bench-run.js';
+import { type BenchReport, createBenchReport } from '../bench/bench-report.js';
+import { BenchRun, benchFleetOptions } from '../bench/bench-run.js';
 import { findDeployment } from '../fleet/topology.js';
 import { formatMs, formatShare, formatTable } from './table.js';
 import { startTemporaryFleet } from './temporary-fleet.js';
@@ -26,7 +26,7 @@
   const loads = parseLoads(flags.loads);
   const { fleet, close } = await startTemporaryFleet(
     'bench',
-    benchFleet(deployment, flags.firstSeed),
+    benchFleetOptions(deployment, flags.firstSeed),
   );
   const result = await new BenchRun({
     fleet,
@@ -36,7 +36,7 @@
     report: (step) => process.stderr.write(`${step}\n`),
   }).run();
   await close();
-  const report = reportBench(name, result);
+  const report = createBenchReport(name, result);
   mkdirSync(output, { recursive: true });
   writeFileSync(join(output, `bench-${name}.json`), `${JSON.stringify(report, null, 2)}\n`);
   process.stdout.write(`${flags.json ? JSON.stringify(report) : formatBenchReport(report)}\n`);
--- a/lab/cli/report-command.ts
+++ b/lab/cli/report-command.ts
@@ -2,7 +2,7 @@
 import { existsSync, mkdirSync, readFileSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { LedgegaugeError } from '../../src/common/index.js';
-import type { BenchReport, PolicyFigures } from '../bench/bench-report.js';
+import type { BenchReport, PolicyStats } from '../bench/bench-report.js';
 import { BENCH_POLICIES } from '../bench/policies.js';
 import { DEPLOYMENTS } from '../fleet/topology.js';
 import { drawBarChart } from '../plots/bar-chart.js';
@@ -50,7 +50,7 @@
   const plot = (
     name: string,
     title: string,
-    read: (figures: PolicyFigures) => number,
+    read: (figures: PolicyStats) => number,
   ): Section['plots'][0] => ({
     file: `${deployment}-${name}.svg`,
     svg: drawBarChart(`${deployment}: ${title}`, groupByLoad(report.policies, read)),
@@ -77,8 +77,8 @@
 }
 
 function groupByLoad(
-  policies: readonly PolicyFigures[],
-  read: (figures: PolicyFigures) => number,
+  policies: readonly PolicyStats[],
+  read: (figures: PolicyStats) => number,
 ): Parameters<typeof drawBarChart>[1] {
   const baselines = new Set(BENCH_POLICIES.filter((one) => one.isBaseline).map((one) => one.name));
   const loads = [...new Set(policies.map((figures) => figures.load))];
