--- a/lab/host-process.ts
+++ b/lab/host-process.ts
@@ -1,4 +1,4 @@
-/** A measured process that answers each line on its standard input with a line of JSON. */
+/** Child process that replies to each line on its standard input with one line of JSON. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { createInterface } from 'node:readline';
@@ -12,9 +12,9 @@
   }
 
   /**
-   * Resolves once the process has written its first line.
-   * @param program path of the built program
-   * @param flags of the Node process
+   * Starts a process and waits until it has written its first line.
+   * @param program path of the compiled program
+   * @param flags Node flags
    */
   static async start<Settings>(
     program: string,
@@ -29,11 +29,11 @@
     return host;
   }
 
-  /** One question at a time. */
-  async request<Answer>(question: string): Promise<Answer> {
-    this.child.stdin!.write(`${question}\n`);
+  /** Sends a command and returns the reply. Only one request may be in flight. */
+  async request<Reply>(command: string): Promise<Reply> {
+    this.child.stdin!.write(`${command}\n`);
     const { value } = await this.lines.next();
-    return JSON.parse(value) as Answer;
+    return JSON.parse(value) as Reply;
   }
 
   async stop(): Promise<void> {
--- a/lab/silent-logger.ts
+++ b/lab/silent-logger.ts
@@ -1,4 +1,4 @@
-/** A logger for processes whose standard output carries figures only. */
+/** Logger that discards everything, for processes that write only results to standard output. */
 import type { Logger } from '../src/observability/index.js';
 
 export const SILENT_LOGGER: Logger = {
