--- a/lab/torture/checker/spending-checks.ts
+++ b/lab/torture/checker/spending-checks.ts
@@ -38,7 +38,7 @@
     for (const { program, budget, spent } of history.spending) {
       result.expect(
         spent <= budget,
-        () => `${program}: reports ${spent} spent of a budget of ${budget}`,
+        () => `${program}: reports ${spent} of a budget of ${budget} spent`,
       );
       const ran = subtreeCost(program);
       result.expect(ran <= spent, () => `${program}: spent ${ran} tokens, but reports ${spent}`);
