--- a/emulator/model/engine-model.test.ts
+++ b/emulator/model/engine-model.test.ts
@@ -146,14 +146,14 @@
 
   it('evicts the least recently used block that is neither pinned nor held', () => {
     const cache = new PrefixCache(4);
-    const [old, pinned, held] = [hashesOf(1, 'a'), hashesOf(1, 'b'), hashesOf(1, 'c')];
-    cache.store(old, 'old', 1);
+    const [oldest, pinned, held] = [hashesOf(1, 'a'), hashesOf(1, 'b'), hashesOf(1, 'c')];
+    cache.store(oldest, 'old', 1);
     cache.store(pinned, 'pinned', 2);
     cache.store(held, 'held', 3);
     cache.pin(pinned, 'pinned', 4);
     cache.hold('held', held, 1_000);
     cache.store(hashesOf(2, 'd'), 'new', 5);
-    expect([old, pinned, held].map((hashes) => cache.matchLength(hashes))).toEqual([0, 1, 1]);
+    expect([oldest, pinned, held].map((hashes) => cache.matchLength(hashes))).toEqual([0, 1, 1]);
   });
 
   it('accounts for reused and unused time', () => {
--- a/lab/bench/cache-waste.ts
+++ b/lab/bench/cache-waste.ts
@@ -29,9 +29,9 @@
   const total = unused + sum(usages.map((usage) => usage.reusedTokenMs));
   const afterEnd = tokenTimeAfterEnd(recorder, records) / timeScale;
   return {
-    recomputed: ratio(recomputed, computed),
-    heldUnused: ratio(unused, total),
-    heldAfterEnd: ratio(afterEnd, total),
+    recomputed: fraction(recomputed, computed),
+    heldUnused: fraction(unused, total),
+    heldAfterEnd: fraction(afterEnd, total),
   };
 }
 
@@ -51,7 +51,7 @@
     repeatCalls += 1;
     if (previousEngine === engine) sameEngineCalls += 1;
   }
-  return ratio(sameEngineCalls, repeatCalls);
+  return fraction(sameEngineCalls, repeatCalls);
 }
 
 /** Returns token-milliseconds of wall-clock time. */
@@ -70,6 +70,6 @@
   return values.reduce((total, value) => total + value, 0);
 }
 
-function ratio(part: number, whole: number): number {
-  return whole === 0 ? 0 : part / whole;
+function fraction(part: number, total: number): number {
+  return total === 0 ? 0 : part / total;
 }
--- a/lab/cli/report-command.ts
+++ b/lab/cli/report-command.ts
@@ -50,7 +50,7 @@
   const plot = (
     name: string,
     title: string,
-    read: (figures: PolicyStats) => number,
+    read: (stats: PolicyStats) => number,
   ): Section['plots'][0] => ({
     file: `${deployment}-${name}.svg`,
     svg: drawBarChart(`${deployment}: ${title}`, groupByLoad(report.policies, read)),
@@ -59,18 +59,18 @@
     {
       title: `Policies, ${deployment}, seeds ${report.seeds.join(', ')}`,
       plots: [
-        plot('latency', 'program p95, ms', (figures) => figures.programLatencyMs.p95),
+        plot('latency', 'program p95, ms', (stats) => stats.programLatencyMs.p95),
         plot(
           'recomputed',
           'prefix tokens computed again, % of computed',
-          (figures) => figures.wastedCacheShare.recomputed * 100,
+          (stats) => stats.wastedCacheShare.recomputed * 100,
         ),
         plot(
           'unused',
           'token time held without reuse, %',
-          (figures) => figures.wastedCacheShare.heldUnused * 100,
+          (stats) => stats.wastedCacheShare.heldUnused * 100,
         ),
-        plot('service', 'service call p99, ms', (figures) => figures.serviceCallP99Ms),
+        plot('service', 'service call p99, ms', (stats) => stats.serviceCallP99Ms),
       ],
     },
   ];
@@ -78,18 +78,20 @@
 
 function groupByLoad(
   policies: readonly PolicyStats[],
-  read: (figures: PolicyStats) => number,
+  read: (stats: PolicyStats) => number,
 ): Parameters<typeof drawBarChart>[1] {
-  const baselines = new Set(BENCH_POLICIES.filter((one) => one.isBaseline).map((one) => one.name));
-  const loads = [...new Set(policies.map((figures) => figures.load))];
+  const baselines = new Set(
+    BENCH_POLICIES.filter((policy) => policy.isBaseline).map((policy) => policy.name),
+  );
+  const loads = [...new Set(policies.map((stats) => stats.load))];
   return loads.map((load) => ({
     title: `at ${load} of full load`,
     bars: policies
-      .filter((figures) => figures.load === load)
-      .map((figures) => ({
-        label: figures.policy,
-        value: read(figures),
-        isOurs: !baselines.has(figures.policy),
+      .filter((stats) => stats.load === load)
+      .map((stats) => ({
+        label: stats.policy,
+        value: read(stats),
+        isOurs: !baselines.has(stats.policy),
       })),
   }));
 }
--- a/lab/slopes/kept-turns-experiment.ts
+++ b/lab/slopes/kept-turns-experiment.ts
@@ -24,12 +24,12 @@
     const catchUp: Point[] = [];
     for (const kept of KEPT_MB) {
       const turns = (kept * BYTES_PER_MB) / TURN_BYTES;
-      const figures = await measure(turns);
-      report(`${kept} MB: ${JSON.stringify(figures)}`);
-      memory.push({ x: turns, y: figures.memoryBytes });
-      snapshot.push({ x: turns, y: figures.snapshotBytes });
-      start.push({ x: kept, y: figures.startMs });
-      catchUp.push({ x: kept, y: figures.catchUpMs });
+      const cost = await measure(turns);
+      report(`${kept} MB: ${JSON.stringify(cost)}`);
+      memory.push({ x: turns, y: cost.memoryBytes });
+      snapshot.push({ x: turns, y: cost.snapshotBytes });
+      start.push({ x: kept, y: cost.startMs });
+      catchUp.push({ x: kept, y: cost.catchUpMs });
     }
     const role = 'control member' as const;
     const turns = `kept turns of ${TURN_BYTES} bytes`;
