--- a/scripts/bundle-platform.mjs
+++ b/scripts/bundle-platform.mjs
@@ -1,29 +1,28 @@
 /**
- * Bundles the platform's program into few files, since loading many modules costs start-up time:
- * what all roles share, and what one role needs alone. Parts of packages that the program never uses
- * are left out, with the Node modules that only they load.
+ * Bundles the platform program into a few files to reduce startup time: one chunk shared by all roles and
+ * chunks for single roles. Unused parts of packages are excluded, with the Node.js modules that only they load.
  */
 import { fileURLToPath } from 'node:url';
 import { analyzeMetafile, build } from 'esbuild';
 
-/** CommonJS dependencies inside the bundle call `require` for Node's own modules. */
+/** Lets bundled CommonJS dependencies `require` built-in modules. */
 const REQUIRE_SHIM =
   "import { createRequire as __createRequire } from 'node:module';" +
   'const require = __createRequire(import.meta.url);';
 
 const pathOf = (name) => fileURLToPath(new URL(name, import.meta.url));
 
-/** Modules by the pattern of their import, and what is bundled in their place. */
+/** Import patterns and the modules that are bundled instead. */
 const REPLACED_MODULES = [
-  // Loads one client class, not the whole package.
+  // Avoids loading the whole package for one class.
   { filter: /^undici$/, path: pathOf('bundled-undici.mjs') },
-  // Loads HTTP/2 and TLS.
+  // Avoids loading HTTP/2 and TLS.
   { filter: /\/client-h2\.js$/, path: pathOf('bundled-http2.mjs') },
-  // Loads the whole of Node's assertions.
+  // Avoids loading all of `node:assert`.
   { filter: /^(node:)?assert$/, path: pathOf('bundled-assert.cjs') },
-  // Loads `cluster`, `child_process`, `v8` and `perf_hooks`.
+  // Avoids loading `cluster`, `child_process`, `v8` and `perf_hooks`.
   { filter: /^prom-client$/, path: pathOf('bundled-prom-client.mjs') },
-  // Without the native helper, which is looked for and opened at every start.
+  // Excludes the native addon, which is located and loaded at each start.
   { filter: /^msgpackr$/, path: pathOf('../node_modules/msgpackr/index.js') },
 ];
 
@@ -46,7 +45,7 @@
   target: 'node20',
   format: 'esm',
   minifySyntax: true,
-  // Half the bytes, and so half the time of parsing; names stay as they are.
+  // Halves the size and so the parse time; identifiers are not minified.
   minifyWhitespace: true,
   keepNames: true,
   plugins: [replaceModules],
--- a/scripts/bundled-assert.cjs
+++ b/scripts/bundled-assert.cjs
@@ -1,4 +1,4 @@
-/** Stands in for `node:assert`, of which undici only calls the function itself: loading it costs a start. */
+/** Replaces `node:assert` in the bundle to reduce startup time; undici calls only `assert()` itself. */
 module.exports = function assert(value, message) {
   if (!value) throw message instanceof Error ? message : new Error(message ?? 'assertion failed');
 };
--- a/scripts/bundled-undici.mjs
+++ b/scripts/bundled-undici.mjs
@@ -1,4 +1,4 @@
-/** The one class of undici that the platform's program uses, without the rest of the package. */
+/** The only class of undici that the platform program uses. */
 import Client from '../node_modules/undici/lib/dispatcher/client.js';
 
 export { Client };
--- a/scripts/list-protocol-headers.mjs
+++ b/scripts/list-protocol-headers.mjs
@@ -1,14 +1,14 @@
 #!/usr/bin/env node
 /**
- * Lists the headers that the platform's pages name, for `platform/protocol-headers.json`, which a test holds
- * against the table of who sets them. Run it by hand when pages are new:
+ * Lists the headers in the documentation of the platform for `platform/protocol-headers.json`, which a test
+ * compares with the header table. Run it manually when the documentation changes:
  *   node scripts/list-protocol-headers.mjs PAGE... > platform/protocol-headers.json
  */
 import { readFileSync } from 'node:fs';
 
-/** Names in code marks or at the beginning of a line of an example. */
+/** Header names in inline code, or at the start of a line of an example. */
 const HEADER = /`((?:X|Kv|Wait|Last)-[A-Za-z-]+)(?=[`: =])|^\s*((?:X|Kv|Wait|Last)-[A-Za-z-]+):/gm;
-/** The name of a cookie, and the one line of an event, are spelled like headers. */
+/** Names that match the pattern but are not headers. */
 const OTHER_NAMES = new Set(['x-affinity-key']);
 
 const names = process.argv.slice(2).flatMap((page) => {
--- a/scripts/run-tests.mjs
+++ b/scripts/run-tests.mjs
@@ -1,7 +1,7 @@
 /**
- * Runs the test suite and prints, as its last line, the totals from vitest's JSON report.
+ * Runs the test suite and prints the totals of the JSON report of Vitest on the last line.
  *
- * Tests named in KNOWN-RED.txt (`test name, cause, issue`) are printed and do not fail the run.
+ * Tests listed in KNOWN-RED.txt (`test name, cause, issue`) are printed and do not fail the run.
  */
 import { spawnSync } from 'node:child_process';
 import { existsSync, readFileSync, rmSync } from 'node:fs';
@@ -23,7 +23,7 @@
   { stdio: 'inherit' },
 );
 if (!existsSync(REPORT_FILE)) {
-  console.error('vitest wrote no report');
+  console.error('vitest did not write a report');
   process.exit(vitest.status || 1);
 }
 
@@ -41,10 +41,10 @@
   (file) => file.status === 'failed' && file.assertionResults.length === 0,
 );
 for (const file of brokenFiles) console.error(`test file did not load: ${file.name}`);
-// The report has no errors that no test caught; they are all that is left when every test passed.
+// The report omits uncaught errors; they are the only remaining cause of a failed run without failed tests.
 const hasUncaughtErrors =
   vitest.status !== 0 && failedNames.length === 0 && brokenFiles.length === 0;
-if (hasUncaughtErrors) console.error('errors that no test caught: see above');
+if (hasUncaughtErrors) console.error('uncaught errors outside of tests, see above');
 const failures = unexpected.length + brokenFiles.length + Number(hasUncaughtErrors);
 const passedNothing = report.numPassedTests === 0;
 process.exitCode = failures > 0 || passedNothing ? 1 : 0;
